--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -7,11 +7,11 @@
 	"pinedale/balancer"
 )
 
-// actions carries out what the decision module decides on. Its methods are called from within
-// the decider's, on the engine's goroutine.
+// actions implements balancer.Actions: it carries out the decisions of the decision module. Its methods are
+// called from within the decider's methods, on the engine's goroutine.
 type actions struct{ engine *Engine }
 
-// Send starts an attempt. A timeout of 0 lasts until the client's deadline.
+// Send starts an attempt. With a timeout of 0, the attempt may last until the client's deadline.
 func (x actions) Send(id uint64, endpoint uint32, timeout, sendBy balancer.Micros) {
 	e := x.engine
 	r := e.requests.get(id)
@@ -43,17 +43,17 @@
 	}
 }
 
-// Reject answers that a retry is harmless, and when it is welcome.
+// Reject answers the request with 503: a retry is harmless, and advised after retryAfter.
 func (x actions) Reject(id uint64, retryAfter balancer.Micros) {
 	x.engine.respond(x.engine.requests.get(id), Response{Code: http.StatusServiceUnavailable, RetryAfter: retryAfter})
 }
 
-// Fail answers that the request failed.
+// Fail answers the request with 502.
 func (x actions) Fail(id uint64) {
 	x.engine.respond(x.engine.requests.get(id), Response{Code: http.StatusBadGateway})
 }
 
-// Cancel aborts an attempt; its outcome still follows.
+// Cancel aborts an attempt. The attempt's outcome is still reported to the decision module.
 func (x actions) Cancel(id uint64, attempt int) {
 	r := x.engine.requests.get(id)
 	if r == nil || attempt < 0 || attempt >= len(r.attempts) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// Timer returns a token to the decision module after a delay.
+// Timer passes a token to Decider.TimerFired after a delay.
 func (x actions) Timer(delay balancer.Micros, token uint32) {
 	e := x.engine
 	e.After(time.Duration(delay)*time.Microsecond, func(now balancer.Micros) { e.decider.TimerFired(now, token) })
@@ -91,7 +91,7 @@
 	})
 }
 
-// Watch starts the watch of the source anew, from the last version on, or stops it.
+// Watch starts a new watch of the source from the last known version, or stops the current one.
 func (x actions) Watch(on bool) {
 	if on {
 		x.engine.startWatch()
@@ -100,7 +100,7 @@
 	}
 }
 
-// Log logs an event of the decision module, in which it names a request by its client's id.
+// Log logs an event of the decision module. It replaces the ledger's number of a request by the client's id.
 func (x actions) Log(event string, attributes ...any) {
 	for i := 0; i+1 < len(attributes); i += 2 {
 		id, isID := attributes[i+1].(uint64)
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -9,27 +9,27 @@
 	"pinedale/balancer"
 )
 
-// Attempt is one attempt at a request. Its exported fields but Abort must not be changed.
+// Attempt is one attempt at a request. Its exported fields except Abort are read-only.
 type Attempt struct {
 	Number   int // from 0
 	Endpoint uint32
-	Target   *Target         // where it goes
-	Deadline balancer.Micros // when it is to be aborted
-	SendBy   balancer.Micros // when it must have been written, or else must not be
-	Zone     uint8           // of the endpoint when the attempt was decided, as is Cell
-	Cell     uint16
+	Target   *Target         // nil if nothing may be sent to the endpoint
+	Deadline balancer.Micros // when the attempt is aborted
+	SendBy   balancer.Micros // after this instant the attempt must not be written any more
+	Zone     uint8           // zone of the endpoint when the attempt was decided
+	Cell     uint16          // cell of the endpoint at the same time
 
-	// Abort belongs to the carrier: it aborts the attempt.
+	// Abort aborts the attempt. It is set and used by the carrier.
 	Abort func()
 
 	engine    *Engine
 	request   *Request
 	startedAt balancer.Micros
-	completed atomic.Bool // the first result has been taken
-	parked    bool        // it waits for a key lease
+	completed atomic.Bool // the first result has been processed
+	parked    bool        // the attempt waits for a key lease
 }
 
-// Context ends with the engine.
+// Context returns a context that ends with the engine.
 func (a *Attempt) Context() context.Context { return a.engine.ctx }
 
 // DeadlineTime returns Deadline by the system's clock.
@@ -44,7 +44,7 @@
 }
 
 // Complete reports the attempt's result. It must be called on the engine's goroutine, but not
-// from within a Carrier's methods. Only the first result counts.
+// from within a Carrier's methods. Results after the first are ignored.
 func (a *Attempt) Complete(now balancer.Micros, res Result) {
 	if a.completed.Swap(true) {
 		return
@@ -78,7 +78,7 @@
 	e.observeOutcome(now, servedBy, res.Status)
 }
 
-// deferNotSent has the attempt completed as never sent, after the current event.
+// deferNotSent completes the attempt with status NotSent after the current event.
 func (a *Attempt) deferNotSent() {
 	a.engine.Defer(func(now balancer.Micros) { a.Complete(now, Result{Status: balancer.NotSent}) })
 }
@@ -89,7 +89,7 @@
 	a.request.Carrier.Send(a)
 }
 
-// mayHaveRun reports whether a server may have begun to handle an attempt of this outcome.
+// mayHaveRun reports whether a server may have begun to execute an attempt that ended with this status.
 func mayHaveRun(s balancer.Status) bool {
 	return s != balancer.Full && s != balancer.ConnectFailed && s != balancer.NotSent
 }
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -6,7 +6,7 @@
 	"pinedale/balancer"
 )
 
-// Clock replaces the system's time, for simulations on virtual time. One goroutine owns it and
+// Clock replaces the system clock, for simulations on virtual time. One goroutine owns the clock and
 // all engines that use it.
 type Clock interface {
 	Now() time.Time
@@ -14,14 +14,14 @@
 	AfterFunc(after time.Duration, f func())
 }
 
-// systemClock is the system's time.
+// systemClock is the Clock of the operating system.
 type systemClock struct{}
 
 func (systemClock) Now() time.Time                          { return time.Now() }
 func (systemClock) AfterFunc(after time.Duration, f func()) { time.AfterFunc(after, f) }
 
 // clock converts a Clock's time to the balancer's: microseconds that never run backwards. They
-// count from the Unix time at base, so that start times of endpoints need no conversion.
+// start at the Unix time of base, so that start times of endpoints need no conversion.
 type clock struct {
 	Clock
 	base time.Time
@@ -34,12 +34,12 @@
 // now returns the balancer's time.
 func (c clock) now() balancer.Micros { return c.micros(c.Now()) }
 
-// time returns the time at an instant of the balancer's.
+// time converts an instant of the balancer's time.
 func (c clock) time(at balancer.Micros) time.Time {
 	return c.base.Add(time.Duration(at-c.base.UnixMicro()) * time.Microsecond)
 }
 
-// micros returns the balancer's instant at a time.
+// micros converts a time to the balancer's time.
 func (c clock) micros(at time.Time) balancer.Micros {
 	return c.base.UnixMicro() + at.Sub(c.base).Microseconds()
 }
--- a/internal/engine/discovery.go
+++ b/internal/engine/discovery.go
@@ -8,20 +8,20 @@
 	"pinedale/balancer"
 )
 
-// rewatchDelay is the pause before a failed watch starts again where lists are pushed. Where they
-// are polled, the decision module decides when.
+// rewatchDelay is the pause before a failed watch is restarted if lists are pushed. If they are
+// polled, the decision module schedules the next poll.
 const rewatchDelay = time.Second
 
 // discovery is the state of the watch of the source. It is owned by the engine's goroutine.
 type discovery struct {
-	source  Source             // may be nil on a Clock of the options
-	version *uint64            // of the last list, nil if there was none
+	source  Source             // may be nil if Options.Clock is set
+	version *uint64            // of the last list, nil before the first list of this source
 	stop    context.CancelFunc // ends the current watch
 	watches sync.WaitGroup     // the current watch, and earlier ones that have not returned yet
 }
 
-// startWatch ends the current watch and starts one from the last version on. The goroutine of the
-// watch ends with its context or the engine's; Run waits for it at its own end.
+// startWatch ends the current watch and starts a new one from the last known version. The watch's
+// goroutine ends with its context or the engine's; Run waits for it before it returns.
 func (e *Engine) startWatch() {
 	d := &e.discovery
 	d.stop()
@@ -34,7 +34,7 @@
 	d.watches.Go(func() { e.watch(ctx, source, version) })
 }
 
-// watch watches a source until ctx ends, or, where lists are polled, for one poll. It runs on a
+// watch watches a source until ctx ends, or for a single poll if lists are polled. It runs on a
 // goroutine of its own.
 func (e *Engine) watch(ctx context.Context, source Source, version *uint64) {
 	notify := func(kind balancer.ListKind, list List) {
@@ -43,7 +43,7 @@
 			return
 		}
 		e.Post(func(now balancer.Micros) {
-			if ctx.Err() == nil { // the watch has not been ended meanwhile
+			if ctx.Err() == nil { // the watch may have been ended while the event was queued
 				e.UpdateEndpoints(now, kind, list)
 			}
 		})
@@ -64,9 +64,9 @@
 	}
 }
 
-// SwitchSource watches another source from now on, from a snapshot, since versions are those of
-// the source before. Requests in flight and what the decision module knows stay. It must be
-// called on the engine's goroutine.
+// SwitchSource replaces the source. The new one is watched from a snapshot, since version numbers
+// of the previous source mean nothing to it. Requests in flight and the state of the decision
+// module are kept. It must be called on the engine's goroutine.
 func (e *Engine) SwitchSource(next Source) {
 	previous := e.discovery.source
 	e.discovery.source = next
@@ -75,7 +75,7 @@
 	previous.Close()
 }
 
-// UpdateEndpoints takes in a list or changes. It must be called on the engine's goroutine; the
+// UpdateEndpoints applies a list or changes. It must be called on the engine's goroutine; the
 // owner of an engine without a source calls it.
 func (e *Engine) UpdateEndpoints(now balancer.Micros, kind balancer.ListKind, list List) {
 	if kind == balancer.ListFailed {
@@ -90,8 +90,8 @@
 	e.applyHosts(now, kind, hosts)
 }
 
-// applyHosts brings the registry and the decision module in line with a list of the endpoints
-// that are used, or changes of them.
+// applyHosts updates the registry and the decision module with a list of the endpoints in use, or
+// with changes to it.
 func (e *Engine) applyHosts(now balancer.Micros, kind balancer.ListKind, hosts []Host) {
 	entries := e.endpoints.apply(kind, hosts)
 	e.hasEndpoints.Store(e.endpoints.hasReady())
--- a/internal/engine/discovery_test.go
+++ b/internal/engine/discovery_test.go
@@ -12,7 +12,7 @@
 	"pinedale/internal/subset"
 )
 
-// failingSource is a source whose watches fail at once. It reports each to the test.
+// failingSource is a source whose watches fail immediately. It sends a value for each watch that starts.
 type failingSource struct{ watches chan struct{} }
 
 func (s failingSource) Watch(
@@ -23,9 +23,8 @@
 }
 func (s failingSource) Close() {}
 
-// A change of the list that the engine's host makes itself, with new settings or another subset, does not count as
-// an answer of discovery: a watch that has failed is started again all the same. It counted as one before, and the
-// list was never updated again.
+// A local change of the endpoint list, by new settings or a new subset selection, is not an answer from discovery: a
+// failed watch must still be restarted after it. Counting it as an answer once left the list outdated for good.
 func TestFailedWatchIsRestartedAfterLocalListChange(t *testing.T) {
 	for name, change := range map[string]func(e *Engine, now balancer.Micros){
 		"none": func(*Engine, balancer.Micros) {},
@@ -60,25 +59,25 @@
 			<-source.watches
 			e.UpdateEndpoints(e.Now(), balancer.ListFull, snapshot(numberedHosts(9)...))
 			e.UpdateEndpoints(e.Now(), balancer.ListFailed, List{})
-			if name == "subset" { // more of the fleet is to be selected
+			if name == "subset" { // a higher load makes the subset select more servers
 				selector.ObserveLoad(clock.now, 5)
 			}
 			before := len(e.endpoints.byID)
 			change(e, e.Now())
 			if name == "subset" && len(e.endpoints.byID) <= before {
-				t.Fatalf("%d servers selected, %d before: nothing has changed", len(e.endpoints.byID), before)
+				t.Fatalf("%d servers known after the change of the subset, %d before: want more", len(e.endpoints.byID), before)
 			}
 			clock.advance(10 * time.Second)
 			select {
 			case <-source.watches:
 			case <-time.After(20 * time.Second):
-				t.Error("discovery is not polled again")
+				t.Error("the failed watch was not restarted within 10 s of virtual time")
 			}
 		})
 	}
 }
 
-// slowSource is a source whose watches take a while to return once their context has ended.
+// slowSource is a source whose watch returns 20 ms after its context has ended.
 type slowSource struct {
 	started  chan struct{}
 	returned atomic.Bool
@@ -118,6 +117,6 @@
 	cancel()
 	<-ended
 	if !source.returned.Load() {
-		t.Error("Run has returned before the watch")
+		t.Error("Run returned before the watch")
 	}
 }
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -9,27 +9,27 @@
 	"pinedale/balancer"
 )
 
-// List is a snapshot of the endpoint list, or changes to it.
+// List is a snapshot of the endpoint list, or a set of changes to it.
 type List struct {
-	Version  uint64 // of the list with these changes; the source defines the numbers
-	Complete bool   // a snapshot
-	Hosts    []Host // in changes also removed ones, with their State
+	Version  uint64 // of the list after these changes; numbered by the source
+	Complete bool   // whether the list is a snapshot
+	Hosts    []Host // changes include removed endpoints, with State Removed
 }
 
 // Host is one endpoint of a list.
 type Host struct {
-	Name      string // the same for as long as the endpoint exists, restarts included
+	Name      string // constant for the lifetime of the endpoint, including restarts
 	Address   string // host:port
 	Site      string
-	Kind      string // of machine
+	Kind      string // of the machine
 	Cell      uint16
 	State     balancer.State
 	Weight    float32
-	StartedMS int64 // its last start, Unix time in milliseconds; 0 for long ago
+	StartedMS int64 // last start, Unix time in milliseconds; 0 if long ago
 }
 
-// Validate returns an error that names the first entry and key by which nothing could be sent to
-// an endpoint.
+// Validate returns an error that names the first entry without a name or, among ready endpoints,
+// without a valid address, and the key at fault.
 func (l *List) Validate() error {
 	for i, h := range l.Hosts {
 		if h.Name == "" {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// Target is one incarnation of an endpoint at one address. It is closed for good once the
-// endpoint drains, is removed, moves or restarts. It may be used from any goroutine.
+// Target is one incarnation of an endpoint at one address. It is closed permanently once the
+// endpoint drains, is removed, moves or restarts. It is safe for concurrent use.
 type Target struct {
 	Name      string // Host.Name
 	Address   string
@@ -54,7 +54,7 @@
 	closed    atomic.Bool
 }
 
-// Started returns the start of this incarnation, the zero time for long ago.
+// Started returns the start time of this incarnation, or the zero time if it started long ago.
 func (t *Target) Started() time.Time {
 	if t.StartedMS <= 0 {
 		return time.Time{}
@@ -62,8 +62,8 @@
 	return time.UnixMilli(t.StartedMS)
 }
 
-// Closed reports that nothing new may be sent to the target.
+// Closed reports whether the target takes no new requests.
 func (t *Target) Closed() bool { return t.closed.Load() }
 
-// Close closes the target for good.
+// Close closes the target permanently.
 func (t *Target) Close() { t.closed.Store(true) }
--- a/internal/engine/endpoint_test.go
+++ b/internal/engine/endpoint_test.go
@@ -34,9 +34,9 @@
 
 func TestTargetStartedIsZeroForLongAgo(t *testing.T) {
 	if at := (&Target{}).Started(); !at.IsZero() {
-		t.Errorf("without a start time: %v", at)
+		t.Errorf("without a start time: %v, want the zero time", at)
 	}
 	if at := (&Target{StartedMS: 1500}).Started(); !at.Equal(time.Unix(1, 500_000_000)) {
-		t.Errorf("started at 1500 ms: %v", at)
+		t.Errorf("started at 1500 ms: %v, want 1.5 s after the Unix epoch", at)
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -12,7 +12,7 @@
 // tickInterval is the interval of Engine.Tick.
 const tickInterval = time.Second
 
-// Engine runs one balancer. Make one with New and start Run in a goroutine.
+// Engine runs one balancer. It is created by New; Run must be started in a goroutine of its own.
 type Engine struct {
 	eventLoop
 	options Options
@@ -27,10 +27,10 @@
 	requests  requestLedger
 	endpoints *endpointRegistry
 	discovery discovery
-	subset    *fleetSubset // nil for the complete fleet
+	subset    *fleetSubset // nil if the complete fleet is used
 }
 
-// New returns an engine that lives until ctx ends, or a *balancer.SettingError.
+// New returns an engine that runs until ctx ends. Invalid settings give a *balancer.SettingError.
 func New(ctx context.Context, o Options) (*Engine, error) {
 	e := &Engine{
 		eventLoop: newEventLoop(ctx, o.Clock),
@@ -61,8 +61,8 @@
 	return balancer.New(s, seed, a)
 }
 
-// Start starts the decision module and the watch of the source. Run calls it; on a Clock of the
-// options its goroutine does.
+// Start starts the decision module and the watch of the source. It is called by Run, or, if
+// Options.Clock is set, by the clock's goroutine.
 func (e *Engine) Start() {
 	now := e.Now()
 	e.decider.Start(now)
@@ -76,7 +76,7 @@
 }
 
 // Run handles events until the engine's context ends, and returns once the watch of the source has
-// returned, too. Its goroutine is the engine's.
+// also returned. The goroutine that calls it becomes the engine's.
 func (e *Engine) Run() {
 	defer e.discovery.watches.Wait()
 	e.Start()
@@ -95,8 +95,8 @@
 	}
 }
 
-// Tick does periodic work. Run calls it every second; on a Clock of the options its goroutine
-// does.
+// Tick does periodic work. It is called every second by Run, or, if Options.Clock is set, by the
+// clock's goroutine.
 func (e *Engine) Tick() {
 	e.logLateness(e.Now())
 	e.options.Upstream.Prune()
@@ -110,11 +110,11 @@
 // goroutine.
 func (e *Engine) Settings() *balancer.Settings { return e.settings.Load() }
 
-// HasEndpoints reports whether an endpoint is known that requests may go to. It may be called
-// from any goroutine.
+// HasEndpoints reports whether any known endpoint takes requests. It may be called from any
+// goroutine.
 func (e *Engine) HasEndpoints() bool { return e.hasEndpoints.Load() }
 
-// Configure changes classes, budgets and pools; if it returns an error, nothing is changed.
+// Configure replaces the classes, budgets and pools. If it returns an error, nothing has changed.
 // Requests in flight keep their classes. It must be called on the engine's goroutine.
 func (e *Engine) Configure(now balancer.Micros, t RuntimeSettings) error {
 	if err := e.decider.Configure(t.Classes, t.Budgets); err != nil {
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// Counts returns the number of requests in the ledger, and of endpoints that are listed or have
-// attempts or health checks pending. It must be called on the engine's goroutine.
+// Counts returns the number of requests in the ledger, and the number of endpoints that are listed
+// or have attempts or health checks pending. It must be called on the engine's goroutine.
 func (e *Engine) Counts() (requests, endpoints int) {
 	return e.requests.len(), len(e.endpoints.byID)
 }
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -10,7 +10,7 @@
 	"pinedale/balancer"
 )
 
-// readClass is a class of requests that may be repeated at will.
+// readClass is a class of requests that may be repeated without limit.
 var readClass = balancer.Class{
 	Name:             "read",
 	LatencyObjective: 600_000,
@@ -29,8 +29,8 @@
 	}
 }
 
-// fakeUpstream records what it is given, and leaves attempts pending until the test completes them. It is a
-// Carrier and a Source, too; the source never reports anything.
+// fakeUpstream records its calls, and leaves attempts pending until the test completes them. It is also a
+// Carrier, and a Source that never reports anything.
 type fakeUpstream struct {
 	attempts  []*Attempt
 	cancelled []*Attempt
@@ -52,7 +52,7 @@
 	return after, ctx.Err()
 }
 
-// recordingDecider records the last entries that the decider was given.
+// recordingDecider records the entries of the last update.
 type recordingDecider struct {
 	Decider
 	entries []balancer.Endpoint
@@ -65,7 +65,7 @@
 	d.Decider.UpdateEndpoints(now, kind, entries)
 }
 
-// steppedClock is a clock that a test sets. It collects timers, which the test calls, too early or not.
+// steppedClock is a clock that a test sets. It collects timers, which the test calls whether or not they are due.
 type steppedClock struct {
 	now    time.Time
 	timers []func()
@@ -86,7 +86,7 @@
 	}
 }
 
-// virtualClock is a clock that a test moves, and that calls timers when they are due.
+// virtualClock is a clock that a test advances. It calls timers when they are due.
 type virtualClock struct {
 	now    time.Time
 	timers timerHeap
@@ -97,7 +97,7 @@
 	f  func()
 }
 
-// timerHeap implements heap.Interface, the next timer first.
+// timerHeap implements heap.Interface; the timer that is due first is at the top.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -116,7 +116,7 @@
 	heap.Push(&c.timers, timer{c.now.Add(d), f})
 }
 
-// advance moves the clock and calls the timers that are due on the way.
+// advance moves the clock and calls the timers that become due, each at its own time.
 func (c *virtualClock) advance(d time.Duration) {
 	end := c.now.Add(d)
 	for len(c.timers) > 0 && !c.timers[0].at.After(end) {
@@ -134,7 +134,7 @@
 // snapshot returns a complete list.
 func snapshot(hosts ...Host) List { return List{Complete: true, Hosts: hosts} }
 
-// numberedHosts returns n ready hosts, s-0 and on.
+// numberedHosts returns n ready hosts named s-0, s-1 and so on.
 func numberedHosts(n int) []Host {
 	var hosts []Host
 	for i := range n {
@@ -143,7 +143,7 @@
 	return hosts
 }
 
-// testingT is what *testing.T, *testing.B and *rapid.T have in common.
+// testingT has the methods that *testing.T, *testing.B and *rapid.T have in common.
 type testingT interface {
 	Helper()
 	Cleanup(func())
@@ -162,8 +162,8 @@
 	return e
 }
 
-// submit submits a request on the engine's goroutine, which is the test's, and returns where its final answer
-// will be.
+// submit submits a request on the engine's goroutine, which is the test's. It returns a Response that is set once
+// the request has its final answer.
 func submit(e *Engine, c Carrier) *Response {
 	var response Response
 	now := e.Now()
--- a/internal/engine/keylease.go
+++ b/internal/engine/keylease.go
@@ -8,7 +8,7 @@
 	"pinedale/balancer"
 )
 
-// Kinds of deduplication groups, as the group names of lease requests begin.
+// Kinds of deduplication groups. The group names in lease requests begin with them.
 const (
 	siteGroup = "site"
 	podGroup  = "pod"
@@ -18,7 +18,7 @@
 type keyLease struct {
 	LeaseRequest
 	granted bool     // the request may be sent to Group
-	parked  *Attempt // waits for the decision; nil once it is there
+	parked  *Attempt // attempt that waits for the decision; nil after the decision
 }
 
 // leaseGroup returns the name of the group of servers that deduplicates requests of a class,
@@ -36,8 +36,8 @@
 	return ""
 }
 
-// leaseGroupLocation is the inverse of leaseGroup. A name unknown here gives a location that no
-// server has.
+// leaseGroupLocation is the inverse of leaseGroup. For an unknown name it returns a location that
+// no server has.
 func (e *Engine) leaseGroupLocation(group string) (zone uint8, cell uint16) {
 	kind, name, _ := strings.Cut(group, " ")
 	switch kind {
@@ -55,7 +55,7 @@
 
 // parkForLease requests a lease of the request's key for the group of the attempt's server, if
 // one is needed and not granted yet, and parks the attempt until the decision. It returns false
-// if the attempt may be sent at once.
+// if the attempt may be sent immediately.
 func (e *Engine) parkForLease(r *Request, a *Attempt) bool {
 	leases := e.options.KeyLeases
 	if leases == nil || r.Key == "" || !leases.Covers(r.in.Class) {
@@ -70,13 +70,13 @@
 			return false
 		}
 		if r.lease.parked != nil {
-			// A hedge while the first attempt has not been sent itself: it hedges nothing yet.
+			// This is a hedge of an attempt that has not been sent yet, so there is nothing to hedge.
 			a.parked = true
 			a.deferNotSent()
 			return true
 		}
-		// The decision module sends to another group only where nothing sent to the one before
-		// can have run: the next term revokes the lease.
+		// The decision module switches to another group only if no attempt sent to the previous
+		// one can have run, so the next term may revoke the lease.
 		term = r.lease.Term + 1
 	}
 	lease := &keyLease{
@@ -92,41 +92,41 @@
 	}
 	r.lease = lease
 	a.parked = true
-	leases.Acquire(lease.LeaseRequest, func(now balancer.Micros, v LeaseDecision) {
-		e.leaseDecided(now, r, lease, v)
+	leases.Acquire(lease.LeaseRequest, func(now balancer.Micros, decision LeaseDecision) {
+		e.leaseDecided(now, r, lease, decision)
 	})
 	return true
 }
 
 // leaseDecided continues with the attempt that was parked for a lease.
-func (e *Engine) leaseDecided(now balancer.Micros, r *Request, lease *keyLease, v LeaseDecision) {
+func (e *Engine) leaseDecided(now balancer.Micros, r *Request, lease *keyLease, decision LeaseDecision) {
 	a := lease.parked
 	lease.parked = nil
 	if r.lease != lease {
-		return // the request is done, and its lease released
+		return // the request has ended and its lease has been released
 	}
 	a.parked = false
 	switch {
-	case v.Outcome == LeaseExclusive:
+	case decision.Outcome == LeaseExclusive:
 		lease.granted = true
 		e.sendParked(now, r, a)
-	case v.Outcome == LeaseShared && r.in.MayHaveRun && v.Group == lease.Group:
-		// The decision module takes it for one that may have run already, perhaps earlier.
+	case decision.Outcome == LeaseShared && r.in.MayHaveRun && decision.Group == lease.Group:
+		// The decision module already treats the request as one that may have run earlier.
 		lease.granted = true
 		e.sendParked(now, r, a)
-	case v.Outcome == LeaseShared:
+	case decision.Outcome == LeaseShared:
 		lease.granted = true
-		lease.Group = v.Group
-		e.resubmit(now, r, a, v)
+		lease.Group = decision.Group
+		e.resubmit(now, r, a, decision)
 	default:
-		e.log.Debug("key lease denied", "reason", v.Reason)
+		e.log.Debug("key lease denied", "reason", decision.Reason)
 		e.respond(r, Response{Code: http.StatusBadGateway})
 		e.discardParked(now, r, a)
 	}
 }
 
-// sendParked sends an attempt that was parked, unless it is too late, nobody waits for an
-// answer any more, or its server takes no new requests.
+// sendParked sends an attempt that was parked, unless it is too late, the client no longer waits for
+// an answer, or the server takes no new requests.
 func (e *Engine) sendParked(now balancer.Micros, r *Request, a *Attempt) {
 	if r.completed || now >= a.SendBy || a.Target == nil || a.Target.Closed() {
 		a.Complete(now, Result{Status: balancer.NotSent})
@@ -135,8 +135,8 @@
 	a.send()
 }
 
-// discardParked ends a request for the decision module together with its one attempt, which was
-// never sent.
+// discardParked settles a request with the decision module, together with its only attempt, which
+// was never sent.
 func (e *Engine) discardParked(now balancer.Micros, r *Request, a *Attempt) {
 	a.completed.Store(true)
 	r.pending--
@@ -152,14 +152,14 @@
 	e.endpoints.release(a.Endpoint)
 }
 
-// resubmit has the decision module decide anew on a request that another instance may have sent,
-// under a new id and as one of which an attempt may have run before it arrived.
-func (e *Engine) resubmit(now balancer.Micros, r *Request, a *Attempt, v LeaseDecision) {
+// resubmit has the decision module decide again on a request that another instance may have sent.
+// The request gets a new id, and counts as one of which an attempt may have run before it arrived.
+func (e *Engine) resubmit(now balancer.Micros, r *Request, a *Attempt, decision LeaseDecision) {
 	maxAttempts := e.Settings().Limits.MaxAttempts
 	if r.in.MaxAttempts > 0 {
 		maxAttempts = min(maxAttempts, r.in.MaxAttempts)
 	}
-	remaining := maxAttempts - r.sent // attempts that never ran count, too
+	remaining := maxAttempts - r.sent // attempts that never ran count as well
 	if remaining <= 0 {
 		e.respond(r, Response{Code: http.StatusBadGateway})
 		e.discardParked(now, r, a)
@@ -173,13 +173,13 @@
 	in.ID = r.id
 	in.MayHaveRun = true
 	in.MaxAttempts = remaining
-	in.PreviousAttempt.At = e.clock.micros(v.Since)
-	in.PreviousAttempt.Zone, in.PreviousAttempt.Cell = e.leaseGroupLocation(v.Group)
+	in.PreviousAttempt.At = e.clock.micros(decision.Since)
+	in.PreviousAttempt.Zone, in.PreviousAttempt.Cell = e.leaseGroupLocation(decision.Group)
 	e.handleRequest(now, r, in)
 }
 
-// releaseLease gives up a request's lease once all outcomes are known. The lease of a request
-// that may have run stays.
+// releaseLease releases a request's lease once all outcomes are known. The lease of a
+// request that may have run is kept.
 func (e *Engine) releaseLease(r *Request) {
 	lease := r.lease
 	if lease == nil {
--- a/internal/engine/keylease_test.go
+++ b/internal/engine/keylease_test.go
@@ -12,27 +12,27 @@
 	"pinedale/balancer"
 )
 
-// scriptedLeases records lease requests, and decides when the test says so. It covers class 0.
+// scriptedLeases records lease requests, and makes decisions when the test calls decide. It covers class 0.
 type scriptedLeases struct {
 	requests  []LeaseRequest
-	callbacks []func(balancer.Micros, LeaseDecision) // by request
+	callbacks []func(balancer.Micros, LeaseDecision) // by index of the lease request
 	released  []LeaseRequest
 }
 
 func (l *scriptedLeases) Covers(class uint8) bool { return class == 0 }
-func (l *scriptedLeases) Acquire(c LeaseRequest, decided func(balancer.Micros, LeaseDecision)) {
-	l.requests = append(l.requests, c)
+func (l *scriptedLeases) Acquire(req LeaseRequest, decided func(balancer.Micros, LeaseDecision)) {
+	l.requests = append(l.requests, req)
 	l.callbacks = append(l.callbacks, decided)
 }
-func (l *scriptedLeases) Release(c LeaseRequest) { l.released = append(l.released, c) }
+func (l *scriptedLeases) Release(req LeaseRequest) { l.released = append(l.released, req) }
 
-// decide gives the decision on the nth request, as an event of its own.
-func (l *scriptedLeases) decide(e *Engine, n int, v LeaseDecision) {
-	e.Post(func(now balancer.Micros) { l.callbacks[n](now, v) })
+// decide delivers the decision on the nth request, as a separate event.
+func (l *scriptedLeases) decide(e *Engine, n int, decision LeaseDecision) {
+	e.Post(func(now balancer.Micros) { l.callbacks[n](now, decision) })
 }
 
-// leaseTest is an engine with key leases on a clock of the test's. It has four servers, two in each of pods 0 and
-// 1, and one class, whose requests a pod deduplicates.
+// leaseTest is an engine with key leases on a clock that the test controls. It has four servers, two in each of pods
+// 0 and 1, and one class, whose requests are deduplicated within a pod.
 type leaseTest struct {
 	engine *Engine
 	up     *fakeUpstream
@@ -70,7 +70,7 @@
 	return l
 }
 
-// breakerWindow is for how long the decision module's breakers count errors.
+// breakerWindow is the time for which the decision module's circuit breakers count errors.
 const breakerWindow = 10 * time.Second
 
 // podHost returns the nth server.
@@ -91,7 +91,7 @@
 	l.engine.Post(func(now balancer.Micros) { l.engine.UpdateEndpoints(now, kind, list) })
 }
 
-// submit submits a request with a key, and returns it with its answers.
+// submit submits a request with a key, and returns it with a list that its answers are appended to.
 func (l *leaseTest) submit(key string) (*Request, *[]Response) {
 	var responses []Response
 	r := &Request{Key: key, Carrier: l.up, Respond: func(r Response) { responses = append(responses, r) }}
@@ -105,7 +105,7 @@
 	l.engine.Post(func(now balancer.Micros) { l.engine.ClientDisconnected(now, r) })
 }
 
-// Nothing is sent before the decision on the lease, and then only what it permits.
+// Nothing is sent before the decision on the lease, and afterwards only what the decision permits.
 func TestAttemptIsSentOnlyAsLeaseDecisionPermits(t *testing.T) {
 	l := newLeaseTest(t)
 	leases := l.leases
@@ -120,12 +120,12 @@
 	}
 	l.up.attempts[0].PostResult(Result{Status: balancer.OK})
 	if len(*responses) != 1 || (*responses)[0].Code != http.StatusOK || len(leases.released) != 0 {
-		t.Errorf("answers %+v, released %v: the lease of what has run must stay", *responses, leases.released)
+		t.Errorf("answers %+v, released leases %v: want one answer 200, and the lease kept", *responses, leases.released)
 	}
-	// Shared: another instance may have sent it. It goes to that one's pod alone, needs no further lease, and is
-	// not rejected as harmless to retry.
+	// Shared: another instance may have sent the request. It is sent only to that instance's pod, needs no further
+	// lease, and is not rejected as harmless to retry.
 	for key := range 10 {
-		l.clock.now = l.clock.now.Add(breakerWindow) // no breaker may stop a request for the errors of the keys before
+		l.clock.now = l.clock.now.Add(breakerWindow) // errors of earlier keys must not open a breaker
 		attempts, requests := len(l.up.attempts), len(leases.requests)
 		_, responses = l.submit(fmt.Sprint("l", key))
 		other := "pod 0"
@@ -137,7 +137,7 @@
 		for n := attempts; n < len(l.up.attempts) && n < attempts+3; n++ {
 			a := l.up.attempts[n]
 			if podGroupName(a.Cell) != other {
-				t.Fatalf("attempt %d went to pod %d", n, a.Cell)
+				t.Fatalf("attempt %d went to pod %d, want the shared lease's group, %s", n, a.Cell, other)
 			}
 			a.PostResult(Result{Status: balancer.Error})
 		}
@@ -169,7 +169,7 @@
 	l.updateEndpoints(balancer.ListDelta, list)
 	l.leases.decide(l.engine, 0, LeaseDecision{Outcome: LeaseExclusive})
 	if len(l.up.attempts) != 0 {
-		t.Error("it was sent to a server that drains")
+		t.Error("the parked attempt was sent to a server that drains")
 	}
 }
 
@@ -186,7 +186,7 @@
 	}
 }
 
-// leaseModel plays random events against an engine with key leases, and checks after each what was sent and
+// leaseModel applies random events to an engine with key leases, and checks after each what was sent and
 // released.
 type leaseModel struct {
 	*leaseTest
@@ -217,7 +217,7 @@
 	}
 }
 
-// step plays one random event.
+// step applies one random event.
 func (m *leaseModel) step(t *rapid.T) {
 	switch rapid.SampledFrom([]string{
 		"submit", "submit", "decide", "decide", "decide", "complete", "complete", "disconnect", "time", "list",
@@ -237,7 +237,7 @@
 			m.disconnect(s.request)
 		}
 	case "time":
-		// Timers that are called too early are allowed: the decision module looks at the time.
+		// Timers may be called too early: the decision module checks the time.
 		m.clock.advance(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
 	case "list":
 		n := rapid.IntRange(0, 3).Draw(t, "server")
@@ -248,22 +248,22 @@
 
 // decideOne decides on one of the pending lease requests.
 func (m *leaseModel) decideOne(t *rapid.T) {
-	for n, c := range m.leases.requests {
+	for n, req := range m.leases.requests {
 		if m.decided[n] || !rapid.Bool().Draw(t, "this") {
 			continue
 		}
 		m.decided[n] = true
 		kinds := []LeaseOutcome{LeaseExclusive, LeaseExclusive, LeaseShared, LeaseDenied}
-		v := LeaseDecision{Outcome: rapid.SampledFrom(kinds).Draw(t, "verdict"), Since: m.clock.now}
-		group := c.Group
-		if v.Outcome == LeaseShared {
-			v.Group = rapid.SampledFrom([]string{"pod 0", "pod 1", "pod 7", "what?"}).Draw(t, "pod")
-			group = v.Group
+		decision := LeaseDecision{Outcome: rapid.SampledFrom(kinds).Draw(t, "verdict"), Since: m.clock.now}
+		group := req.Group
+		if decision.Outcome == LeaseShared {
+			decision.Group = rapid.SampledFrom([]string{"pod 0", "pod 1", "pod 7", "what?"}).Draw(t, "pod")
+			group = decision.Group
 		}
-		if v.Outcome != LeaseDenied {
-			m.granted[c.Key] = map[string]bool{group: true} // a later term revokes the earlier
+		if decision.Outcome != LeaseDenied {
+			m.granted[req.Key] = map[string]bool{group: true} // a later term revokes the earlier ones
 		}
-		m.leases.decide(m.engine, n, v)
+		m.leases.decide(m.engine, n, decision)
 		return
 	}
 }
@@ -293,20 +293,20 @@
 		key, group := a.request.Key, podGroupName(a.Cell)
 		m.sent[key]++
 		if m.sent[key] > 3 {
-			t.Fatalf("%s was sent %d times, of three that the limits permit", key, m.sent[key])
+			t.Fatalf("%s was sent %d times, at most 3 are allowed", key, m.sent[key])
 		}
 		if !m.granted[key][group] {
-			t.Fatalf("%s was sent to %s, granted: %v", key, group, m.granted[key])
+			t.Fatalf("%s was sent to %s, but only these groups were granted: %v", key, group, m.granted[key])
 		}
 	}
-	for _, c := range m.leases.released {
-		if m.mayHaveRun[c.Key] {
-			t.Fatalf("%s may have run, and was released", c.Key)
+	for _, req := range m.leases.released {
+		if m.mayHaveRun[req.Key] {
+			t.Fatalf("the lease of %s was released, although the request may have run", req.Key)
 		}
 	}
 }
 
-// finish lets all time pass, and then completes what is pending.
+// finish advances the clock past all deadlines, and then completes whatever is still pending.
 func (m *leaseModel) finish() {
 	for range 200 {
 		m.clock.advance(time.Second)
@@ -319,7 +319,7 @@
 	}
 	for n := range m.leases.requests {
 		if !m.decided[n] {
-			m.leases.decide(m.engine, n, LeaseDecision{Outcome: LeaseExclusive}) // far too late
+			m.leases.decide(m.engine, n, LeaseDecision{Outcome: LeaseExclusive}) // after the deadline
 		}
 	}
 }
@@ -327,18 +327,18 @@
 // checkEnd checks the answers and leases after finish.
 func (m *leaseModel) checkEnd(t *rapid.T) {
 	requested, released := map[string]bool{}, map[string]bool{}
-	for _, c := range m.leases.requests {
-		requested[c.Key] = true
+	for _, req := range m.leases.requests {
+		requested[req.Key] = true
 	}
-	for _, c := range m.leases.released {
-		released[c.Key] = true
+	for _, req := range m.leases.released {
+		released[req.Key] = true
 	}
 	for _, s := range m.submitted {
 		if n := len(*s.responses); n > 1 || n == 0 != s.disconnected {
-			t.Fatalf("%s has %d answers, its client has disconnected: %v", s.key, n, s.disconnected)
+			t.Fatalf("%s has %d answers; client disconnected before an answer: %v", s.key, n, s.disconnected)
 		}
 		if requested[s.key] && !m.mayHaveRun[s.key] && !released[s.key] {
-			t.Fatalf("%s cannot have run, and its lease is not released", s.key)
+			t.Fatalf("%s cannot have run, but its lease was not released", s.key)
 		}
 	}
 	if n, _ := m.engine.Counts(); n != 0 {
@@ -346,9 +346,9 @@
 	}
 }
 
-// Whatever decisions, results, disconnects and losses of servers come, in any order: each request has one final
-// answer, at its deadline at the latest; nothing is sent without a granted lease for its pod; the lease of what
-// cannot have run is released, that of what may have run is not; and the ledger is empty at the end.
+// For any order of decisions, results, disconnects and losses of servers: each request has one final answer, by its
+// deadline; nothing is sent without a granted lease for its pod; the lease of a request that cannot have run is
+// released, and that of a request that may have run is kept; and the ledger is empty at the end.
 func TestLeasedRequestsKeepInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLeaseModel(t)
@@ -362,7 +362,7 @@
 	})
 }
 
-// The group that one instance names is where another sends the request.
+// Instances exchange group names, so each must resolve the names that another one makes.
 func TestLeaseGroupLocationInvertsLeaseGroup(t *testing.T) {
 	e := newLeaseTest(t).engine
 	for _, test := range []struct {
--- a/internal/engine/lateness.go
+++ b/internal/engine/lateness.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// latenessWindow is for how long at least, and twice that at most, an event's age counts.
+	// latenessWindow is the length of a window. An event's delay counts for one to two windows.
 	latenessWindow = balancer.Micros(100_000)
-	// latenessLogThreshold is the lateness from which it is logged.
+	// latenessLogThreshold is the lowest delay that is logged.
 	latenessLogThreshold = balancer.Micros(50_000)
-	// latenessLogInterval is the shortest time between two log lines on it.
+	// latenessLogInterval is the minimum time between two log lines about lateness.
 	latenessLogInterval = balancer.Micros(1_000_000)
 )
 
-// lateness is how long events have waited lately until they were handled, the longest that counts.
-// An instance that is short of processor time is as late with whatever it begins now.
+// lateness is the longest recent delay between an event's due time and its handling. An instance that
+// is short of processor time will delay what it starts now by about as much.
 type lateness struct {
 	windowStart balancer.Micros
-	current     balancer.Micros // longest in the window that has begun at windowStart
-	previous    balancer.Micros // and in the one before
+	current     balancer.Micros // longest delay in the window that started at windowStart
+	previous    balancer.Micros // longest delay in the window before
 
 	loggedAt balancer.Micros
 	shed     int // requests rejected for lateness since loggedAt
 }
 
-// observe takes in the age of an event that is handled now.
+// observe records the delay of an event that is handled now.
 func (l *lateness) observe(now, age balancer.Micros) {
 	l.slide(now)
 	l.current = max(l.current, age)
 }
 
-// slide begins a new window if the present one is over.
+// slide starts a new window if the current one has ended.
 func (l *lateness) slide(now balancer.Micros) {
 	switch passed := now - l.windowStart; {
 	case passed < latenessWindow:
@@ -46,19 +46,19 @@
 	l.windowStart = now
 }
 
-// longest returns how long events have waited lately.
+// longest returns the longest recent delay.
 func (l *lateness) longest(now balancer.Micros) balancer.Micros {
 	l.slide(now)
 	return max(l.current, l.previous)
 }
 
-// permits reports whether a request could be answered by its deadline: it will wait once more, at
-// least, until its answer is passed on.
-func (l *lateness) permits(now, deadline balancer.Micros) bool {
+// canMeetDeadline reports whether a request could be answered by its deadline: its answer will wait in
+// the queue at least once more.
+func (l *lateness) canMeetDeadline(now, deadline balancer.Micros) bool {
 	return now+l.longest(now) < deadline
 }
 
-// logLateness logs that events wait long, at most once in latenessLogInterval.
+// logLateness logs long delays and the requests rejected for them, at most once per latenessLogInterval.
 func (e *Engine) logLateness(now balancer.Micros) {
 	l := &e.lateness
 	longest := l.longest(now)
--- a/internal/engine/lateness_test.go
+++ b/internal/engine/lateness_test.go
@@ -23,16 +23,16 @@
 	})
 }
 
-// A burst of arrivals must not hold up the answers of requests that were taken before.
+// A burst of arrivals must not delay the answers of earlier requests.
 func TestOutcomesAreHandledBeforeArrivals(t *testing.T) {
 	e, cancel := newRunningEngine(t)
 	defer cancel()
 	var order []string // owned by the engine's goroutine
-	note := func(what string) event { return func(balancer.Micros) { order = append(order, what) } }
-	e.PostArrival(nil, note("arrival 1"))
-	e.PostArrival(nil, note("arrival 2"))
-	e.Post(note("outcome"))
-	e.After(0, note("timer"))
+	record := func(name string) event { return func(balancer.Micros) { order = append(order, name) } }
+	e.PostArrival(nil, record("arrival 1"))
+	e.PostArrival(nil, record("arrival 2"))
+	e.Post(record("outcome"))
+	e.After(0, record("timer"))
 	for len(e.queue) < 2 {
 		time.Sleep(time.Millisecond)
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-// submitArrival posts a request with this much time and returns where its response comes.
+// submitArrival posts a request with the given remaining time, and returns the channel of its response.
 func submitArrival(e *Engine, r *Request, remaining time.Duration) <-chan Response {
 	responses := make(chan Response, 1)
 	r.Respond = func(response Response) { responses <- response }
@@ -60,7 +60,8 @@
 	return responses
 }
 
-// An instance that is short of processor time rejects at once what it could not answer in time, and serves the rest.
+// An instance that is short of processor time immediately rejects requests that it could not answer in time, and
+// serves the rest.
 func TestArrivalWithoutTimeForItsAnswerIsRejected(t *testing.T) {
 	e, cancel := newRunningEngine(t)
 	defer cancel()
@@ -70,11 +71,11 @@
 	short := submitArrival(e, &Request{}, late+late/2)
 	long := submitArrival(e, &Request{}, time.Minute)
 	if response := <-short; response.Code != http.StatusServiceUnavailable {
-		t.Errorf("answered %d, want a rejection", response.Code)
+		t.Errorf("short deadline: answered %d, want a rejection with 503", response.Code)
 	}
 	select {
 	case response := <-long:
-		t.Errorf("answered %d, want an attempt", response.Code)
+		t.Errorf("long deadline: answered %d, want no answer while an attempt is pending", response.Code)
 	case <-time.After(late):
 	}
 	var attempts, shed int
@@ -104,7 +105,7 @@
 	}
 }
 
-// Disconnects are handled before arrivals, also those of the same client.
+// A disconnect can be handled before the arrival of the same client's request, since arrivals have lower priority.
 func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	e, cancel := newRunningEngine(t)
 	defer cancel()
--- a/internal/engine/ledger.go
+++ b/internal/engine/ledger.go
@@ -9,39 +9,39 @@
 	"pinedale/balancer"
 )
 
-// Request is a request that the decision module may still act on: its final answer is not out,
-// or attempts are pending. A front sets the exported fields; everything else is owned by the
+// Request is a request that the decision module may still act on: its final answer has not been given,
+// or attempts are pending. A front sets the exported fields; all other fields are owned by the
 // engine's goroutine.
 type Request struct {
 	// Carrier carries out the attempts.
 	Carrier Carrier
-	// Respond takes the one final answer, on the engine's goroutine. It must not block, nor call
-	// back into the engine.
+	// Respond receives the final answer. It is called at most once, on the engine's goroutine, and must not
+	// block or call back into the engine.
 	Respond func(Response)
 	// ID is the client's id of the request, for the log.
 	ID string
-	// Key is the idempotency key, if any, which KeyLeases may have to lease.
+	// Key is the idempotency key, if any. KeyLeases.Covers decides whether it must be leased.
 	Key string
 
-	taken atomic.Bool // by Submit or Withdraw, whichever was first
+	submittedOrWithdrawn atomic.Bool // set by the first of Submit and Withdraw
 
 	id        uint64
 	deadline  balancer.Micros
-	in        balancer.Request // as the decision module knows it
+	in        balancer.Request // as passed to the decision module
 	admitted  bool             // Admission.Release is due
-	completed bool             // the final answer is out, or the client has disconnected
+	completed bool             // the final answer has been given, or the client has disconnected
 	attempts  []*Attempt
-	pending   int // attempts without outcome
-	sent      int // attempts that the carrier was given
+	pending   int // attempts without an outcome
+	sent      int // attempts passed to the carrier
 
 	lease      *keyLease // nil if none was requested
-	leaseID    uint64    // the id in lease requests: that of the first Submit
-	mayHaveRun bool      // an attempt may have run, or may yet
+	leaseID    uint64    // id in lease requests: the one assigned by Submit
+	mayHaveRun bool      // an attempt may have run, or may still run
 }
 
-// Withdraw takes back a request that was not submitted yet: nothing was sent for it, and Submit will
-// do nothing. It returns false if the request was submitted. It may be called from any goroutine.
-func (r *Request) Withdraw() bool { return !r.taken.Swap(true) }
+// Withdraw cancels a request that has not been submitted: nothing was sent for it, and Submit will
+// ignore it. It returns false if the request has been submitted. It may be called from any goroutine.
+func (r *Request) Withdraw() bool { return !r.submittedOrWithdrawn.Swap(true) }
 
 // requestLedger holds the requests by id.
 type requestLedger struct {
@@ -53,7 +53,7 @@
 	return requestLedger{byID: map[uint64]*Request{}}
 }
 
-// nextID returns an id that no request had before.
+// nextID returns an id that has not been used before.
 func (l *requestLedger) nextID() uint64 {
 	l.lastID++
 	return l.lastID
@@ -68,13 +68,13 @@
 // Submit passes a new request to the decision module. It must be called on the engine's
 // goroutine.
 //
-// A request that could not be answered in time, since events wait too long, is taken as one whose
-// deadline has passed: the decision module answers it at once.
+// If events wait so long that the request could not be answered in time, it is submitted with an
+// expired deadline, and the decision module answers it immediately.
 func (e *Engine) Submit(now balancer.Micros, r *Request, in balancer.Request) {
-	if r.completed || r.taken.Swap(true) { // its client left before it was submitted
+	if r.completed || r.submittedOrWithdrawn.Swap(true) { // the client disconnected before the submission
 		return
 	}
-	if !e.lateness.permits(now, in.Deadline) {
+	if !e.lateness.canMeetDeadline(now, in.Deadline) {
 		e.lateness.shed++
 		in.Deadline = min(in.Deadline, now)
 	}
@@ -92,7 +92,7 @@
 	e.handleRequest(now, r, in)
 }
 
-// handleRequest enters a request in the ledger and has the decision module decide on it.
+// handleRequest adds a request to the ledger and has the decision module decide on it.
 func (e *Engine) handleRequest(now balancer.Micros, r *Request, in balancer.Request) {
 	r.in = in
 	e.requests.add(r)
@@ -100,7 +100,7 @@
 	e.removeIfDone(r)
 }
 
-// ClientDisconnected reports that the client has disconnected, or has its answer from elsewhere.
+// ClientDisconnected reports that the client has disconnected, or was answered without the engine.
 // It must be called on the engine's goroutine.
 func (e *Engine) ClientDisconnected(now balancer.Micros, r *Request) {
 	if r.completed {
@@ -111,7 +111,7 @@
 	e.removeIfDone(r)
 }
 
-// ExpireAll gives every request its final answer now, since the host is about to end. It must be
+// ExpireAll gives every request its final answer now, since the process is about to end. It must be
 // called on the engine's goroutine.
 func (e *Engine) ExpireAll(now balancer.Micros) {
 	for _, id := range e.requests.sortedIDs() {
@@ -122,7 +122,7 @@
 	}
 }
 
-// respond gives the final answer, unless one is out already or there is no such request.
+// respond gives the final answer, unless one has been given already or r is nil.
 func (e *Engine) respond(r *Request, response Response) {
 	if r == nil || r.completed {
 		return
@@ -131,7 +131,7 @@
 	r.Respond(response)
 }
 
-// complete records that no answer is due for a request any more.
+// complete records that a request needs no answer any more.
 func (e *Engine) complete(r *Request) {
 	r.completed = true
 	if r.admitted {
@@ -140,7 +140,7 @@
 	}
 }
 
-// removeIfDone removes a request from the ledger once its answer is out and no attempt is pending.
+// removeIfDone removes a request from the ledger once it is completed and no attempt is pending.
 func (e *Engine) removeIfDone(r *Request) {
 	if r.completed && r.pending == 0 {
 		e.requests.remove(r)
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -15,15 +15,15 @@
 	a.Complete(e.Now(), Result{Status: balancer.OK})
 	e.runDeferred()
 	if response.Code == 200 {
-		t.Error("the second result gave an answer")
+		t.Error("the second result was passed to the client")
 	}
 	if ep := e.endpoints.byID[1]; ep.pending < 0 {
-		t.Errorf("%d attempts are pending", ep.pending)
+		t.Errorf("%d attempts pending, want 0 or more", ep.pending)
 	}
 }
 
-// A client that has its answer from elsewhere ends the request with its attempt's outcome: nothing is sent or
-// answered for it any more.
+// A result that is settled means that the client was answered without the engine: the request ends with it, and
+// nothing more is sent or answered.
 func TestSettledResultEndsRequestWithoutAnswer(t *testing.T) {
 	e, up, _ := newTestEngine(t)
 	e.UpdateEndpoints(e.Now(), balancer.ListFull,
@@ -32,15 +32,15 @@
 	up.attempts[0].Complete(e.Now(), Result{Status: balancer.Error, Settled: true})
 	e.runDeferred()
 	if len(up.attempts) != 1 || response.Code != 0 {
-		t.Errorf("%d attempts, answer %+v; want one and none", len(up.attempts), response)
+		t.Errorf("%d attempts, answer %+v; want one attempt and no answer", len(up.attempts), response)
 	}
 	if n, _ := e.Counts(); n != 0 {
 		t.Error("the ledger still contains the request")
 	}
 }
 
-// When its host is about to end, each request in flight gets its one final answer: a rejection where a retry is
-// harmless, else a failure. Later outcomes are taken in and have no effect.
+// Before the process ends, each request in flight gets exactly one final answer: a rejection if a retry is harmless,
+// otherwise a failure. Later outcomes have no effect.
 func TestExpireAnswersEachRequestOnce(t *testing.T) {
 	e, up, _ := newTestEngine(t)
 	e.UpdateEndpoints(e.Now(), balancer.ListFull, snapshot(readyHost("s-1", "127.0.0.1:1")))
@@ -48,8 +48,8 @@
 	e.ExpireAll(e.Now())
 	e.runDeferred()
 	for i, r := range responses {
-		if r.Code != 503 { // the class's group is all servers, and its window is open: a repeat has no effect
-			t.Errorf("request %d: answer %+v", i, *r)
+		if r.Code != 503 { // all servers deduplicate the class, and its window is open: a repeat has no effect
+			t.Errorf("request %d: answer %+v, want a rejection with 503", i, *r)
 		}
 	}
 	if len(up.cancelled) != 2 {
@@ -58,8 +58,8 @@
 	for _, a := range up.attempts {
 		a.Complete(e.Now(), Result{Status: balancer.OK})
 	}
-	e.ExpireAll(e.Now()) // without requests it has no effect
+	e.ExpireAll(e.Now()) // has no effect without requests
 	if n, _ := e.Counts(); n != 0 || responses[0].Code != 503 {
-		t.Errorf("%d requests in the ledger, answer %+v", n, *responses[0])
+		t.Errorf("%d requests in the ledger, answer %+v; want none and 503", n, *responses[0])
 	}
 }
--- a/internal/engine/listparts.go
+++ b/internal/engine/listparts.go
@@ -8,14 +8,15 @@
 	"pinedale/balancer"
 )
 
-// hostsPerPart is how many entries of a list are taken in by one event.
+// hostsPerPart is the number of list entries that one event applies.
 const hostsPerPart = 64
 
-// updateInParts takes in a long list or many changes, one part after the other: other events have
-// their turn in between. What must get no new request comes first. It gives up when ctx ends. It
-// must not be called on the engine's goroutine.
+// updateInParts applies a long list or many changes in parts, so that other events can run in
+// between. Entries of endpoints that must get no new requests come first. It returns early when ctx
+// ends. It must not be called on the engine's goroutine.
 //
-// The decision module gets a complete list as changes, with the removals of what it does not name.
+// A complete list is passed to the decision module as changes, with removals of the endpoints that
+// it does not name.
 func (e *Engine) updateInParts(ctx context.Context, kind balancer.ListKind, list List) {
 	lastKind := kind
 	changes := slices.Clone(list.Hosts)
@@ -42,7 +43,7 @@
 	}
 }
 
-// readyRank orders entries: those that are not ready come first.
+// readyRank is a sort key that puts entries that are not ready first.
 func readyRank(h Host) int {
 	if h.State == balancer.Ready {
 		return 1
@@ -50,13 +51,13 @@
 	return 0
 }
 
-// removalsByList returns entries that remove the endpoints that a complete list does not name, by
-// name.
+// removalsByList returns entries that remove the endpoints that a complete list does not name,
+// sorted by name.
 func (r *endpointRegistry) removalsByList(hosts []Host) []Host {
 	r.beginSnapshot()
 	for _, h := range hosts {
 		if ep := r.byID[r.idByName[h.Name]]; ep != nil {
-			ep.listedIn = r.snapshot
+			ep.lastSnapshotSeq = r.snapshotSeq
 		}
 	}
 	var removals []Host
@@ -70,7 +71,7 @@
 	return removals
 }
 
-// callUnlessEnded is Call for an event that is left out once ctx has ended.
+// callUnlessEnded is Call for an event that is skipped if ctx has ended.
 func (e *Engine) callUnlessEnded(ctx context.Context, event event) {
 	if ctx.Err() != nil {
 		return
--- a/internal/engine/listparts_test.go
+++ b/internal/engine/listparts_test.go
@@ -10,8 +10,8 @@
 	"pinedale/balancer"
 )
 
-// manyHosts returns n ready hosts from a number on.
-func manyHosts(first, n int) []Host {
+// hostRange returns n ready hosts, numbered from first.
+func hostRange(first, n int) []Host {
 	hosts := make([]Host, n)
 	for i := range hosts {
 		hosts[i] = readyHost(fmt.Sprintf("s-%04d", first+i), fmt.Sprintf("127.0.0.1:%d", first+i+1))
@@ -19,25 +19,26 @@
 	return hosts
 }
 
-// partsDecider counts the entries of each call, and checks that nothing long holds up the engine.
-type partsDecider struct {
+// countingDecider records the kind of each update, the largest number of entries in an update, and each endpoint's
+// last state.
+type countingDecider struct {
 	Decider
-	kinds   []balancer.ListKind
-	longest int
-	states  map[uint32]balancer.State
+	kinds      []balancer.ListKind
+	maxEntries int
+	states     map[uint32]balancer.State
 }
 
-func (d *partsDecider) UpdateEndpoints(now balancer.Micros, kind balancer.ListKind, entries []balancer.Endpoint) {
+func (d *countingDecider) UpdateEndpoints(now balancer.Micros, kind balancer.ListKind, entries []balancer.Endpoint) {
 	d.kinds = append(d.kinds, kind)
-	d.longest = max(d.longest, len(entries))
+	d.maxEntries = max(d.maxEntries, len(entries))
 	for _, entry := range entries {
 		d.states[entry.ID] = entry.State
 	}
 	d.Decider.UpdateEndpoints(now, kind, entries)
 }
 
-// count returns the number of endpoints that were last given with a state.
-func (d *partsDecider) count(state balancer.State) int {
+// count returns the number of endpoints whose last state was the given one.
+func (d *countingDecider) count(state balancer.State) int {
 	n := 0
 	for _, s := range d.states {
 		if s == state {
@@ -47,50 +48,52 @@
 	return n
 }
 
-func newPartsEngine(t *testing.T) (*Engine, *partsDecider) {
+func newPartsEngine(t *testing.T) (*Engine, *countingDecider) {
 	t.Helper()
 	e, _ := newRunningEngine(t)
-	decider := &partsDecider{Decider: e.decider, states: map[uint32]balancer.State{}}
+	decider := &countingDecider{Decider: e.decider, states: map[uint32]balancer.State{}}
 	e.decider = decider
 	go e.Run() // until the test ends
 	return e, decider
 }
 
-// A complete list comes to the same in parts as whole, and no event takes in more than a part.
+// Applying a complete list in parts has the same result as applying it at once, and no event applies more than a part.
 func TestLongListIsTakenInByParts(t *testing.T) {
 	e, decider := newPartsEngine(t)
 	const n = 1000
-	e.updateInParts(context.Background(), balancer.ListFull, snapshot(manyHosts(0, n)...))
-	second := snapshot(manyHosts(n/2, n)...)
+	e.updateInParts(context.Background(), balancer.ListFull, snapshot(hostRange(0, n)...))
+	second := snapshot(hostRange(n/2, n)...)
 	second.Version = 2
 	second.Hosts[n-1].State = balancer.Draining
 	e.updateInParts(context.Background(), balancer.ListFull, second)
 	e.Call(func(balancer.Micros) {
-		if decider.longest > hostsPerPart {
-			t.Errorf("%d entries in one event, at most %d are allowed", decider.longest, hostsPerPart)
+		if decider.maxEntries > hostsPerPart {
+			t.Errorf("%d entries in one event, at most %d are allowed", decider.maxEntries, hostsPerPart)
 		}
 		if ready, removed := decider.count(balancer.Ready), decider.count(balancer.Removed); ready != n-1 || removed != n/2 {
 			t.Errorf("%d ready and %d removed, want %d and %d", ready, removed, n-1, n/2)
 		}
 		if last := decider.kinds[len(decider.kinds)-1]; last != balancer.ListDelta {
-			t.Errorf("the last part is of kind %v, want that of a live list", last)
+			t.Errorf("the last part is of kind %v, want %v", last, balancer.ListDelta)
 		}
 		if _, known := e.Counts(); known != n || *e.discovery.version != 2 {
-			t.Errorf("%d endpoints known at version %d, want %d at 2", known, *e.discovery.version, n)
+			t.Errorf("%d endpoints at version %d, want %d at version 2", known, *e.discovery.version, n)
 		}
 	})
 }
 
-// Drains and removals are in effect before the rest of a long list is taken in.
+// Drains and removals take effect before the rest of a long list is applied.
 func TestDrainsInALongListComeFirst(t *testing.T) {
 	e, decider := newPartsEngine(t)
 	const n = 500
-	e.updateInParts(context.Background(), balancer.ListFull, snapshot(manyHosts(0, n)...))
-	changes := List{Version: 2, Hosts: manyHosts(0, n+200)}
+	e.updateInParts(context.Background(), balancer.ListFull, snapshot(hostRange(0, n)...))
+	changes := List{Version: 2, Hosts: hostRange(0, n+200)}
 	changes.Hosts[n+199].State = balancer.Draining
 	changes.Hosts[n-1].State = balancer.Draining
 	var first []balancer.Endpoint
-	e.Call(func(balancer.Micros) { decider.Decider = &firstUpdate{Decider: decider.Decider, entries: &first} })
+	e.Call(func(balancer.Micros) {
+		decider.Decider = &firstUpdateDecider{Decider: decider.Decider, entries: &first}
+	})
 	e.updateInParts(context.Background(), balancer.ListDelta, changes)
 	e.Call(func(balancer.Micros) {
 		if len(first) < 2 || first[0].State != balancer.Draining || first[1].State != balancer.Draining {
@@ -99,25 +102,25 @@
 	})
 }
 
-// firstUpdate keeps the entries of the first call.
-type firstUpdate struct {
+// firstUpdateDecider records the entries of the first update.
+type firstUpdateDecider struct {
 	Decider
 	entries *[]balancer.Endpoint
 }
 
-func (d *firstUpdate) UpdateEndpoints(now balancer.Micros, kind balancer.ListKind, entries []balancer.Endpoint) {
+func (d *firstUpdateDecider) UpdateEndpoints(now balancer.Micros, kind balancer.ListKind, entries []balancer.Endpoint) {
 	if *d.entries == nil {
 		*d.entries = entries
 	}
 	d.Decider.UpdateEndpoints(now, kind, entries)
 }
 
-// An ended watch takes in no further part, and its version does not count.
+// After a watch has ended, no further part of its list is applied, and the list's version is not recorded.
 func TestPartsOfAnEndedWatchAreIgnored(t *testing.T) {
 	e, decider := newPartsEngine(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	e.Call(func(balancer.Micros) { decider.Decider = &endingDecider{decider.Decider, cancel} })
-	e.updateInParts(ctx, balancer.ListFull, snapshot(manyHosts(0, 500)...))
+	e.Call(func(balancer.Micros) { decider.Decider = &cancellingDecider{decider.Decider, cancel} })
+	e.updateInParts(ctx, balancer.ListFull, snapshot(hostRange(0, 500)...))
 	e.Call(func(balancer.Micros) {
 		if _, known := e.Counts(); known != hostsPerPart || e.discovery.version != nil {
 			t.Errorf("%d endpoints known, want %d; version %v, want none", known, hostsPerPart, e.discovery.version)
@@ -125,18 +128,18 @@
 	})
 }
 
-// endingDecider ends a context at the first list.
-type endingDecider struct {
+// cancellingDecider cancels a context at the first update.
+type cancellingDecider struct {
 	Decider
 	cancel func()
 }
 
-func (d *endingDecider) UpdateEndpoints(now balancer.Micros, kind balancer.ListKind, entries []balancer.Endpoint) {
+func (d *cancellingDecider) UpdateEndpoints(now balancer.Micros, kind balancer.ListKind, entries []balancer.Endpoint) {
 	d.cancel()
 	d.Decider.UpdateEndpoints(now, kind, entries)
 }
 
-// Endpoints of the first list are not new, whichever part names them: they have no slow start.
+// Endpoints of the first list are not new, whichever part contains them, so they get no slow start.
 func TestFirstListInPartsStartsNoSlowStart(t *testing.T) {
 	up := &fakeUpstream{}
 	settings := testSettings(1, readClass, balancer.Limits{MaxAttempts: 3, MaxOpen: 1000})
@@ -147,7 +150,7 @@
 		Zones: []string{"a"}, Upstream: up, Source: up, Settings: settings, Log: slog.New(slog.DiscardHandler),
 	})
 	go e.Run()
-	e.updateInParts(t.Context(), balancer.ListFull, snapshot(manyHosts(0, 200)...))
+	e.updateInParts(t.Context(), balancer.ListFull, snapshot(hostRange(0, 200)...))
 	e.Call(func(now balancer.Micros) {
 		for range 100 {
 			r := &Request{Carrier: up, Respond: func(Response) {}}
@@ -158,7 +161,7 @@
 			used[a.Endpoint] = true
 		}
 		if len(used) < hostsPerPart {
-			t.Errorf("100 requests used %d of 200 endpoints", len(used))
+			t.Errorf("100 requests used %d of 200 endpoints, want at least %d", len(used), hostsPerPart)
 		}
 	})
 }
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -7,33 +7,33 @@
 	"pinedale/balancer"
 )
 
-// eventQueueSize is the number of events that may wait in each queue for the engine's goroutine.
+// eventQueueSize is the capacity of each event queue.
 const eventQueueSize = 1024
 
-// event is a step of the engine's goroutine.
+// event is a function that runs on the engine's goroutine.
 type event = func(now balancer.Micros)
 
 // queuedEvent is an event that waits for the engine's goroutine.
 type queuedEvent struct {
 	run event
-	due balancer.Micros // when it could have run at the earliest
+	due balancer.Micros // earliest time at which it could have run
 }
 
-// eventLoop passes events to the engine's goroutine. Engine embeds it: its exported methods are
-// the engine's.
+// eventLoop passes events to the engine's goroutine. Engine embeds it, and so has its exported
+// methods.
 //
-// Arrivals, which begin work, wait in a queue of their own, behind all that ends work: outcomes,
-// timers, disconnects and lists.
+// Arrivals, which begin work, have a queue of their own, with a lower priority than all events that
+// end work: outcomes, timers, disconnects and lists.
 type eventLoop struct {
 	ctx      context.Context // ends with the engine
 	clock    clock
-	queue    chan queuedEvent // nil on a Clock of the options: events run at once
-	arrivals chan queuedEvent // likewise
+	queue    chan queuedEvent // nil if Options.Clock is set: events run immediately
+	arrivals chan queuedEvent // nil if Options.Clock is set
 	deferred []event          // to run after the current event; owned by the engine's goroutine
 	lateness lateness         // owned by the engine's goroutine
 }
 
-// newEventLoop returns a loop on the system's time if source is nil.
+// newEventLoop returns a loop on the given clock, or on the system clock if source is nil.
 func newEventLoop(ctx context.Context, source Clock) eventLoop {
 	if source != nil {
 		return eventLoop{ctx: ctx, clock: newClock(source)}
@@ -49,15 +49,15 @@
 // Now returns the balancer's time. It may be called from any goroutine.
 func (l *eventLoop) Now() balancer.Micros { return l.clock.now() }
 
-// WallTime returns the system's time at an instant of the balancer's. It may be called from any
+// WallTime converts an instant of the balancer's time to the system's. It may be called from any
 // goroutine.
 func (l *eventLoop) WallTime(at balancer.Micros) time.Time { return l.clock.time(at) }
 
-// Post hands an event to the engine's goroutine, and waits for space in its queue. It must not be
-// called from there.
+// Post passes an event to the engine's goroutine. It blocks while the queue is full, and must not be
+// called on the engine's goroutine.
 func (l *eventLoop) Post(event func(now balancer.Micros)) { l.postDue(event, l.Now()) }
 
-// postDue is Post for an event that could have run from an instant on.
+// postDue is Post for an event that could have run since due.
 func (l *eventLoop) postDue(event event, due balancer.Micros) {
 	if l.queue == nil {
 		l.handle(queuedEvent{event, due})
@@ -69,8 +69,8 @@
 	}
 }
 
-// PostArrival is Post for an event that submits a request, given up once done is closed. Such
-// events run in order, and each when no other event waits. It reports whether the event was posted.
+// PostArrival is Post for an event that submits a request; it gives up once done is closed. Arrivals
+// run in order, each when no other event waits. It reports whether the event was posted.
 func (l *eventLoop) PostArrival(done <-chan struct{}, event func(now balancer.Micros)) bool {
 	arrival := queuedEvent{event, l.Now()}
 	if l.arrivals == nil {
@@ -86,7 +86,7 @@
 	return false
 }
 
-// TryPost is Post if the queue has space at once; otherwise it does nothing. It reports whether
+// TryPost is Post that does nothing if the queue is full, instead of blocking. It reports whether
 // the event was posted.
 func (l *eventLoop) TryPost(event func(now balancer.Micros)) bool {
 	posted := queuedEvent{event, l.Now()}
@@ -102,8 +102,8 @@
 	}
 }
 
-// Call runs an event on the engine's goroutine, and waits for its end or the engine's. It must
-// not be called from there.
+// Call runs an event on the engine's goroutine, and waits until the event or the engine has ended.
+// It must not be called on the engine's goroutine.
 func (l *eventLoop) Call(event func(now balancer.Micros)) {
 	done := make(chan struct{})
 	l.Post(func(now balancer.Micros) {
@@ -128,7 +128,8 @@
 	l.deferred = append(l.deferred, event)
 }
 
-// next returns the event to handle next, or false when the context has ended or tick is ready.
+// next waits for the next event. ticked reports that tick fired in its place; ok is false once the
+// context has ended.
 func (l *eventLoop) next(tick <-chan time.Time) (next queuedEvent, ticked, ok bool) {
 	select {
 	case next = <-l.queue:
@@ -146,7 +147,7 @@
 	return next, false, true
 }
 
-// handle runs an event and what it deferred.
+// handle runs an event and the events that it deferred.
 func (l *eventLoop) handle(e queuedEvent) {
 	now := l.clock.now()
 	l.lateness.observe(now, now-e.due)
@@ -154,7 +155,7 @@
 	l.runDeferred()
 }
 
-// runDeferred runs deferred events until there are none.
+// runDeferred runs deferred events until none is left.
 func (l *eventLoop) runDeferred() {
 	for len(l.deferred) > 0 {
 		events := l.deferred
--- a/internal/engine/loop_test.go
+++ b/internal/engine/loop_test.go
@@ -10,8 +10,8 @@
 	"pinedale/balancer"
 )
 
-// On a Clock of the options an engine does everything on the caller's goroutine, at once, and its time is that
-// clock's alone.
+// With Options.Clock, an engine runs all events immediately on the caller's goroutine, and takes the time only from
+// that clock.
 func TestEventsRunAtOnceOnGivenClock(t *testing.T) {
 	up, clock := &fakeUpstream{}, newSteppedClock()
 	settings := testSettings(1, readClass, balancer.Limits{MaxAttempts: 3, MaxOpen: 10})
@@ -29,19 +29,19 @@
 		e.UpdateEndpoints(now, balancer.ListFull, snapshot(readyHost("s-1", "127.0.0.1:1")))
 	})
 	if !e.HasEndpoints() {
-		t.Error("the list was not taken in at once")
+		t.Error("the list was not applied immediately")
 	}
 	response := submit(e, up)
 	if len(up.attempts) != 1 || !up.attempts[0].DeadlineTime().Equal(clock.now.Add(3*time.Second)) {
-		t.Fatalf("%d attempts", len(up.attempts))
+		t.Fatalf("%d attempts, want one with a deadline in 3 s", len(up.attempts))
 	}
 	clock.now = clock.now.Add(time.Second)
 	if now := e.Now(); now != clock.now.UnixMicro() {
-		t.Errorf("its time is %d, the clock's %d", now, clock.now.UnixMicro())
+		t.Errorf("the engine's time is %d, the clock's %d", now, clock.now.UnixMicro())
 	}
 	up.attempts[0].PostResult(Result{Status: balancer.OK})
 	if response.Code != 200 {
-		t.Errorf("answer %+v", response)
+		t.Errorf("answer %+v, want 200", response)
 	}
 	ran := false
 	e.After(time.Second, func(balancer.Micros) { ran = true })
@@ -50,12 +50,12 @@
 	}
 	clock.timers[len(clock.timers)-1]()
 	if !ran || !e.TryPost(func(balancer.Micros) { ran = false }) || ran {
-		t.Error("events do not run at once")
+		t.Error("events did not run immediately")
 	}
 }
 
-// newRunningEngine returns an engine on the system's time, without endpoints, and the function that ends it. Run is
-// not called.
+// newRunningEngine returns an engine on the system clock, without endpoints, and the function that ends it. The
+// caller starts Run.
 func newRunningEngine(t *testing.T) (*Engine, context.CancelFunc) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -124,7 +124,7 @@
 	}
 	cancel()
 	if e.PostArrival(nil, event) {
-		t.Error("PostArrival posted to an engine that has ended")
+		t.Error("PostArrival posted to an engine that had ended")
 	}
 	e.Call(event) // returns, since the engine has ended
 	if ran {
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -6,40 +6,40 @@
 	"pinedale/balancer"
 )
 
-// RuntimeSettings are the settings that may change while an engine runs.
+// RuntimeSettings are the settings that can be changed while an engine runs.
 type RuntimeSettings struct {
-	Classes []balancer.Class // a number keeps its class
+	Classes []balancer.Class // a class keeps its index
 	Budgets []balancer.RetryBudget
-	// Pools returns the pools of a server, one bit each; nil for no pools.
+	// Pools returns the set of pools of a server, one bit each. It may be nil if there are no pools.
 	Pools func(site, kind string) uint64
 }
 
-// Options are an engine's settings and surroundings.
+// Options are an engine's settings and dependencies.
 type Options struct {
 	Settings   balancer.Settings
 	Seed       uint64
-	Zones      []string // names of sites, by the numbers that the balancer uses
-	Kinds      []string // names of kinds of machine, likewise
-	CachedList List     // the last known list of an earlier run, possibly outdated
+	Zones      []string // names of sites, indexed by the balancer's zone number
+	Kinds      []string // kinds of machine, indexed by the balancer's kind number
+	CachedList List     // the last list known to an earlier run, possibly outdated
 	Upstream   Upstream
 	Source     Source
 	Log        *slog.Logger
 
 	Admission Admission // nil admits all requests
-	Subset    Subset    // nil for the complete fleet
-	KeyLeases KeyLeases // nil where each instance decides alone on requests with a key
-	// ObserveOutcome, where set, is called with the outcome of each attempt and health check of a
+	Subset    Subset    // nil uses the complete fleet
+	KeyLeases KeyLeases // nil if each instance decides on its own about requests with a key
+	// ObserveOutcome, if not nil, is called with the outcome of each attempt and health check of a
 	// server, on the engine's goroutine.
 	ObserveOutcome func(t *Target, s balancer.Status)
-	// Pools is RuntimeSettings.Pools at the start.
+	// Pools is the initial value of RuntimeSettings.Pools.
 	Pools func(site, kind string) uint64
 
-	// Clock, where set, replaces the system's time and Run: the clock's goroutine calls Start
-	// and everything else, Post handles an event at once, and UpdateEndpoints replaces Source,
+	// Clock, if not nil, replaces the system's time and Run: the clock's goroutine calls Start
+	// and all other methods, Post handles an event immediately, and UpdateEndpoints replaces Source,
 	// which may be nil.
 	Clock Clock
-	// NewDecider, where set, replaces balancer.New.
+	// NewDecider, if not nil, replaces balancer.New.
 	NewDecider func(balancer.Settings, uint64, balancer.Actions) (Decider, error)
-	// WrapDecider, where set, wraps the engine's decider.
+	// WrapDecider, if not nil, wraps the engine's decider.
 	WrapDecider func(Decider) Decider
 }
--- a/internal/engine/registry.go
+++ b/internal/engine/registry.go
@@ -9,7 +9,7 @@
 	"pinedale/balancer"
 )
 
-// unknownName is the number of a zone or kind that the settings do not list.
+// unknownName is the number of a zone or kind that is not in the settings.
 const unknownName = 255
 
 // indexOf returns the number of a zone or kind.
@@ -20,18 +20,18 @@
 	return unknownName
 }
 
-// endpoint is what the engine keeps of an endpoint until it is removed and nothing is pending
-// there. Endpoints come and go all day under new names.
+// endpoint is the engine's record of an endpoint, kept until the endpoint is removed and nothing is
+// pending there. Endpoints are added and removed all day under new names.
 type endpoint struct {
 	name    string
 	host    Host    // as last listed
 	target  *Target // nil unless ready
 	zone    uint8
 	cell    uint16
-	pending int // attempts and health checks without outcome
+	pending int // attempts and health checks without an outcome
 	removed bool
 
-	listedIn uint64 // endpointRegistry.snapshot that named it last
+	lastSnapshotSeq uint64 // endpointRegistry.snapshotSeq when the endpoint was last listed
 }
 
 // endpointRegistry holds the endpoints that the decision module knows. It is owned by the
@@ -45,11 +45,11 @@
 	idByName       map[string]uint32
 	readyByAddress map[string]uint32 // ids of ready endpoints
 	lastID         uint32            // ids are not reused: a late outcome must not count for another endpoint
-	targets        int               // of endpoints that are ready
-	snapshot       uint64            // complete lists that have begun to be taken in
+	targets        int               // number of ready endpoints
+	snapshotSeq    uint64            // number of complete lists begun so far
 
-	// advisedDraining are endpoints that other instances know to drain, by name, with the start
-	// time in milliseconds of the incarnation that drains.
+	// advisedDraining has the endpoints that other instances report as draining, by name, with the
+	// start time in milliseconds of the incarnation that drains.
 	advisedDraining map[string]int64
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// apply takes in a list or changes, and returns the entries for the decision module.
+// apply applies a list or changes, and returns the entries for the decision module.
 func (r *endpointRegistry) apply(kind balancer.ListKind, hosts []Host) []balancer.Endpoint {
 	if kind != balancer.ListFull && kind != balancer.ListCached {
 		return r.applyChanges(hosts)
@@ -78,11 +78,11 @@
 	return entries
 }
 
-// beginSnapshot begins to take in a complete list, by applyChanges, at the end of which unlisted has
-// what it does not name.
-func (r *endpointRegistry) beginSnapshot() { r.snapshot++ }
+// beginSnapshot starts a complete list. Its entries are then passed to applyChanges; after that,
+// unlisted returns the endpoints that the list does not name.
+func (r *endpointRegistry) beginSnapshot() { r.snapshotSeq++ }
 
-// applyChanges takes in entries of a list, and returns those for the decision module.
+// applyChanges applies entries of a list, and returns those for the decision module.
 func (r *endpointRegistry) applyChanges(hosts []Host) []balancer.Endpoint {
 	entries := make([]balancer.Endpoint, 0, len(hosts))
 	for _, h := range hosts {
@@ -93,18 +93,18 @@
 			}
 			id = r.add(h.Name)
 		}
-		r.byID[id].listedIn = r.snapshot
+		r.byID[id].lastSnapshotSeq = r.snapshotSeq
 		entries = append(entries, r.entry(id, h))
 		r.update(id, h)
 	}
 	return entries
 }
 
-// unlisted returns the endpoints that the last complete list has not named.
+// unlisted returns the endpoints that the last complete list did not name.
 func (r *endpointRegistry) unlisted() []*endpoint {
 	var unlisted []*endpoint
 	for _, ep := range r.byID {
-		if ep.listedIn != r.snapshot && !ep.removed {
+		if ep.lastSnapshotSeq != r.snapshotSeq && !ep.removed {
 			unlisted = append(unlisted, ep)
 		}
 	}
@@ -118,8 +118,8 @@
 	return r.lastID
 }
 
-// update sets where an endpoint is reached now. A target that drains, is removed, has moved or
-// has restarted is closed, so that a send that is under way does not start.
+// update sets the state and address of an endpoint. A target that drains, is removed, has moved or
+// has restarted is closed, so that a send that is being prepared does not start.
 func (r *endpointRegistry) update(id uint32, h Host) {
 	ep := r.byID[id]
 	ep.removed = h.State == balancer.Removed
@@ -137,7 +137,7 @@
 		ep.target = &Target{Name: h.Name, Address: h.Address, StartedMS: h.StartedMS}
 		r.readyByAddress[h.Address] = id
 	}
-	r.forgetIfUnused(id, ep)
+	r.deleteIfUnused(id, ep)
 }
 
 func (r *endpointRegistry) closeTarget(id uint32, ep *endpoint) {
@@ -151,15 +151,15 @@
 	}
 }
 
-// forgetIfUnused drops an endpoint that is removed once nothing is pending there.
-func (r *endpointRegistry) forgetIfUnused(id uint32, ep *endpoint) {
+// deleteIfUnused deletes a removed endpoint once nothing is pending there.
+func (r *endpointRegistry) deleteIfUnused(id uint32, ep *endpoint) {
 	if ep.removed && ep.pending == 0 {
 		delete(r.idByName, ep.name)
 		delete(r.byID, id)
 	}
 }
 
-// entry returns an endpoint as the decision module knows it.
+// entry returns an endpoint in the form that the decision module takes.
 func (r *endpointRegistry) entry(id uint32, h Host) balancer.Endpoint {
 	nameHash := fnv.New64a()
 	nameHash.Write([]byte(h.Name))
@@ -181,7 +181,7 @@
 	return entry
 }
 
-// entries returns the entries of all listed endpoints by id.
+// entries returns the entries of all listed endpoints, sorted by id.
 func (r *endpointRegistry) entries() []balancer.Endpoint {
 	var entries []balancer.Endpoint
 	for id, ep := range r.byID {
@@ -193,14 +193,14 @@
 	return entries
 }
 
-// hasReady reports whether an endpoint is ready.
+// hasReady reports whether any endpoint is ready.
 func (r *endpointRegistry) hasReady() bool { return r.targets > 0 }
 
-// contains reports whether an endpoint of this name is known.
+// contains reports whether an endpoint with this name is known.
 func (r *endpointRegistry) contains(name string) bool { return r.idByName[name] != 0 }
 
-// setAdvisedDraining replaces the advice, and returns the entries of the endpoints that it
-// changes the state of, by name.
+// setAdvisedDraining replaces the advice, and returns the entries of the endpoints whose state it
+// changes, sorted by name.
 func (r *endpointRegistry) setAdvisedDraining(advised map[string]int64) []balancer.Endpoint {
 	names := slices.AppendSeq(slices.Collect(maps.Keys(r.advisedDraining)), maps.Keys(advised))
 	slices.Sort(names)
@@ -218,7 +218,7 @@
 	return changed
 }
 
-// effectiveState returns a listed endpoint's state with regard to the advice.
+// effectiveState returns a listed endpoint's state, or draining if it is ready but advised to drain.
 func (r *endpointRegistry) effectiveState(h Host) balancer.State {
 	startedMS, ok := r.advisedDraining[h.Name]
 	if ok && startedMS == h.StartedMS && h.State == balancer.Ready {
@@ -227,9 +227,9 @@
 	return h.State
 }
 
-// acquire counts an attempt or health check as pending at an endpoint, and returns where it is
-// reached, nil if nothing may be sent there. The decision module may know an endpoint for a
-// moment longer than the registry does.
+// acquire counts an attempt or health check as pending at an endpoint. It returns the endpoint's
+// target, nil if nothing may be sent there. The decision module may know an endpoint for a moment
+// longer than the registry does.
 func (r *endpointRegistry) acquire(id uint32) *Target {
 	ep := r.byID[id]
 	if ep == nil {
@@ -239,16 +239,16 @@
 	return ep.target
 }
 
-// release is called with the outcome of what was acquired.
+// release counts an acquired attempt or health check as done.
 func (r *endpointRegistry) release(id uint32) {
 	if ep := r.byID[id]; ep != nil {
 		ep.pending--
-		r.forgetIfUnused(id, ep)
+		r.deleteIfUnused(id, ep)
 	}
 }
 
-// SetAdvisedDraining replaces the endpoints that other instances know to drain: while the source
-// still lists one of them as ready, it counts as draining. They are given by name, with the
+// SetAdvisedDraining replaces the set of endpoints that other instances report as draining. While the
+// source still lists one of them as ready, it counts as draining. They are given by name, with the
 // start time in milliseconds of the incarnation that drains. It must be called on the engine's
 // goroutine.
 func (e *Engine) SetAdvisedDraining(now balancer.Micros, draining map[string]int64) {
@@ -257,8 +257,8 @@
 	}
 }
 
-// EndpointAt returns the number of the ready endpoint that is reached at an address, 0 if none
-// is. It must be called on the engine's goroutine.
+// EndpointAt returns the id of the ready endpoint at an address, 0 if there is none. It must be called
+// on the engine's goroutine.
 func (e *Engine) EndpointAt(address string) uint32 { return e.endpoints.readyByAddress[address] }
 
 // Location returns the zone and cell that an endpoint was last listed with. It must be called on
--- a/internal/engine/registry_test.go
+++ b/internal/engine/registry_test.go
@@ -44,8 +44,8 @@
 	return h.Sum64()
 }
 
-// What a source lists reaches the decider, an endpoint keeps its id across lists, and one that has restarted has
-// a new target.
+// Listed endpoints are passed to the decider, an endpoint keeps its id across lists, and an endpoint that has
+// restarted gets a new target.
 func TestEndpointKeepsIDAndRestartReplacesTarget(t *testing.T) {
 	e, up, decider := newTestEngine(t)
 	e.UpdateEndpoints(e.Now(), balancer.ListFull, snapshot(readyHost("s-1", "127.0.0.1:1")))
@@ -66,26 +66,26 @@
 		{ID: 1, Zone: 0, Kind: 0, State: balancer.Ready, Weight: 1, StartTime: startedMS * 1000},
 		{ID: 2, Zone: unknownName, Kind: unknownName, Cell: 4, State: balancer.Draining},
 	}
-	// The same at every instance, whatever id it gives the endpoint.
+	// The stable id is the same at every instance, whichever id it assigns to the endpoint.
 	want[0].StableID, want[1].StableID = stableID("s-1"), stableID("s-9")
 	if !slices.Equal(decider.entries, want) {
 		t.Errorf("entries %+v, want %+v", decider.entries, want)
 	}
 	after := e.endpoints.byID[1].target
 	if before == after || !before.Closed() || after.Closed() || !slices.Equal(up.retired, []*Target{before}) {
-		t.Error("the endpoint that restarted kept its old target")
+		t.Error("the target from before the restart was not closed, retired and replaced")
 	}
 	startTime, now := decider.entries[0].StartTime, e.Now()
 	if startTime > now || now-startTime > time.Minute.Microseconds() {
-		t.Errorf("started at %d by a clock that shows %d", startTime, now)
+		t.Errorf("start time %d, want one within the minute before the clock's time, %d", startTime, now)
 	}
 	if e.EndpointAt("127.0.0.1:1") != 1 || e.EndpointAt("127.0.0.1:2") != 0 || !e.HasEndpoints() {
-		t.Error("the ready endpoint is not found, or another is")
+		t.Error("EndpointAt or HasEndpoints: want the ready endpoint found, and no other")
 	}
 }
 
-// Endpoints come and go all day under new names. One that is removed is forgotten once nothing is pending there;
-// its id is not reused, so that a late outcome does not count for another endpoint.
+// Endpoints are added and removed all day under new names. The record of a removed endpoint is deleted once nothing
+// is pending there; its id is not reused, so that a late outcome does not count for another endpoint.
 func TestRemovedEndpointIsForgottenOnceNothingIsPending(t *testing.T) {
 	e, up, _ := newTestEngine(t)
 	list := func(complete bool, hosts ...Host) {
@@ -106,24 +106,24 @@
 	list(false, removed)
 	requests, endpoints := e.Counts()
 	if requests != 1 || endpoints != 1 || len(e.endpoints.idByName) != 1 || e.endpoints.byID[1] == nil {
-		t.Errorf("%d requests, %d endpoints and %d names, want the one with an attempt pending",
+		t.Errorf("%d requests, %d endpoints and %d names, want one of each, with the attempt pending",
 			requests, endpoints, len(e.endpoints.idByName))
 	}
 	up.attempts[0].Complete(e.Now(), Result{Status: balancer.OK})
 	if response.Code != 200 {
-		t.Errorf("the request in flight: %+v", response)
+		t.Errorf("answer to the request in flight: %+v, want 200", response)
 	}
 	if requests, endpoints := e.Counts(); requests != 0 || endpoints != 0 || len(e.endpoints.idByName) != 0 {
 		t.Errorf("%d requests, %d endpoints and %d names, want none", requests, endpoints, len(e.endpoints.idByName))
 	}
 	list(true, readyHost("s-1", "127.0.0.1:1"))
 	if id := e.endpoints.idByName["s-1"]; id != 52 {
-		t.Errorf("the endpoint that is back has id %d, want a new one, 52", id)
+		t.Errorf("the endpoint that was listed again has id %d, want a new one, 52", id)
 	}
 }
 
-// An endpoint that others know to drain counts as draining while the source lists that very incarnation as ready:
-// nothing new goes there, pending attempts continue, and a new incarnation or the end of the advice reverts it.
+// An endpoint that other instances report as draining counts as draining while the source lists the same incarnation
+// as ready: no new attempts, pending ones continue. A new incarnation or the end of the advice reverts it.
 func TestAdvisedDrainingHoldsForListedIncarnationOnly(t *testing.T) {
 	e, up, decider := newTestEngine(t)
 	list := snapshot(readyHost("s-1", "127.0.0.1:1"), readyHost("s-2", "127.0.0.1:2"))
@@ -131,10 +131,10 @@
 	first := e.endpoints.byID[1].target
 	e.SetAdvisedDraining(e.Now(), map[string]int64{"s-1": 0, "s-2": 7, "s-9": 0})
 	if !first.Closed() || e.endpoints.byID[1].target != nil || !slices.Contains(up.retired, first) {
-		t.Error("an endpoint that is advised to drain is still sent to")
+		t.Error("an endpoint that is advised to drain still has an open target")
 	}
 	if e.endpoints.byID[2].target == nil {
-		t.Error("advice on another incarnation counts")
+		t.Error("advice on another incarnation took effect")
 	}
 	want := []balancer.Endpoint{
 		{ID: 1, StableID: decider.entries[0].StableID, State: balancer.Draining, Weight: 1},
@@ -145,26 +145,26 @@
 	decider.entries = nil
 	e.SetAdvisedDraining(e.Now(), map[string]int64{"s-1": 0})
 	if decider.entries != nil {
-		t.Errorf("unchanged advice gives entries %+v", decider.entries)
+		t.Errorf("unchanged advice caused an update with entries %+v", decider.entries)
 	}
-	e.UpdateEndpoints(e.Now(), balancer.ListFull, list) // the source does not know yet
+	e.UpdateEndpoints(e.Now(), balancer.ListFull, list) // the source still lists the endpoint as ready
 	if e.endpoints.byID[1].target != nil {
-		t.Error("an outdated list overrides the advice")
+		t.Error("an outdated list overrode the advice")
 	}
 	list.Hosts[0].StartedMS = 5
 	e.UpdateEndpoints(e.Now(), balancer.ListFull, list)
 	if e.endpoints.byID[1].target == nil {
-		t.Error("advice on the incarnation before counts for one that has started anew")
+		t.Error("advice on the previous incarnation still applies to one that has restarted")
 	}
 	list.Hosts[0].StartedMS = 0
 	e.UpdateEndpoints(e.Now(), balancer.ListFull, list)
 	e.SetAdvisedDraining(e.Now(), nil)
 	if e.endpoints.byID[1].target == nil || decider.entries[0].State != balancer.Ready {
-		t.Error("advice that has ended still counts")
+		t.Error("advice that was withdrawn still applies")
 	}
 }
 
-// The time that advice takes on the engine's goroutine, with a large fleet.
+// BenchmarkAdvise measures how long a change of advice occupies the engine's goroutine with a large fleet.
 func BenchmarkAdvise(b *testing.B) {
 	up := &fakeUpstream{}
 	e := mustNew(b, Options{
--- a/internal/engine/scale_bench_test.go
+++ b/internal/engine/scale_bench_test.go
@@ -9,10 +9,10 @@
 	"pinedale/balancer"
 )
 
-// fleetSizes are the numbers of endpoints at which costs are compared.
+// fleetSizes are the numbers of endpoints at which the cost is measured.
 var fleetSizes = []int{200, 800, 3200, 10_000}
 
-// newScaleEngine returns an engine on a clock of its own, with n endpoints.
+// newScaleEngine returns an engine with n endpoints on a clock of its own.
 func newScaleEngine(tb testing.TB, n int) (*Engine, *fakeUpstream, *steppedClock) {
 	tb.Helper()
 	up, clock := &fakeUpstream{}, newSteppedClock()
@@ -25,12 +25,12 @@
 		tb.Fatal(err)
 	}
 	e.Start()
-	e.UpdateEndpoints(e.Now(), balancer.ListFull, snapshot(manyHosts(0, n)...))
+	e.UpdateEndpoints(e.Now(), balancer.ListFull, snapshot(hostRange(0, n)...))
 	return e, up, clock
 }
 
-// scaleSteps are what an engine does for one event, or a request with its retries.
-var scaleSteps = []struct {
+// requestCases are the requests measured, by the outcomes of their attempts.
+var requestCases = []struct {
 	name     string
 	statuses []balancer.Status // of a request's attempts
 }{
@@ -38,11 +38,11 @@
 	{"request_with_retry", []balancer.Status{balancer.ConnectFailed, balancer.OK}},
 }
 
-// BenchmarkEngineRequest measures a request from Submit to its last outcome.
+// BenchmarkEngineRequest measures a request from Submit to the last outcome.
 func BenchmarkEngineRequest(b *testing.B) {
-	for _, step := range scaleSteps {
+	for _, testCase := range requestCases {
 		for _, n := range fleetSizes {
-			b.Run(fmt.Sprintf("%s/%d", step.name, n), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/%d", testCase.name, n), func(b *testing.B) {
 				e, up, clock := newScaleEngine(b, n)
 				b.ReportAllocs()
 				b.ResetTimer()
@@ -54,7 +54,7 @@
 					up.attempts = up.attempts[:0]
 					e.Submit(now, r, balancer.Request{Deadline: now + 3_000_000})
 					for attempt := 0; attempt < len(up.attempts); attempt++ {
-						status := step.statuses[min(attempt, len(step.statuses)-1)]
+						status := testCase.statuses[min(attempt, len(testCase.statuses)-1)]
 						up.attempts[attempt].Complete(now+500, Result{Status: status})
 					}
 				}
@@ -63,12 +63,12 @@
 	}
 }
 
-// BenchmarkEngineDelta measures a change of one endpoint.
+// BenchmarkEngineDelta measures a delta that changes one endpoint.
 func BenchmarkEngineDelta(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			e, up, _ := newScaleEngine(b, n)
-			changed := manyHosts(0, 100)
+			changed := hostRange(0, 100)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
@@ -81,12 +81,12 @@
 	}
 }
 
-// BenchmarkEngineFullList measures a complete list in which nothing has changed, by its parts.
+// BenchmarkEngineFullList measures an unchanged complete list that is applied in parts.
 func BenchmarkEngineFullList(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			e, _, _ := newScaleEngine(b, n)
-			list := snapshot(manyHosts(0, n)...)
+			list := snapshot(hostRange(0, n)...)
 			b.ResetTimer()
 			for range b.N {
 				e.updateInParts(b.Context(), balancer.ListFull, list)
--- a/internal/engine/subset.go
+++ b/internal/engine/subset.go
@@ -9,8 +9,8 @@
 	"pinedale/internal/subset"
 )
 
-// inFlightWeight is the weight of a second in the moving mean of requests in flight: about the
-// last ten seconds count.
+// inFlightWeight is the weight of a new sample in the moving mean of requests in flight. With one
+// sample per second, the mean covers about the last ten seconds.
 const inFlightWeight = 0.1
 
 // fleetSubset reduces the listed fleet to the servers that a Subset selects. It is owned by the
@@ -29,14 +29,14 @@
 	return &fleetSubset{selector: selector, fleet: map[string]Host{}}
 }
 
-// observeLoad takes in the requests in flight, once a second. It reports whether reselect is due.
+// observeLoad records the requests in flight, once a second. It reports whether reselect is due.
 func (s *fleetSubset) observeLoad(now time.Time, inFlight int) bool {
 	s.meanInFlight += inFlightWeight * (float64(inFlight) - s.meanInFlight)
 	return s.selector.ObserveLoad(now, s.meanInFlight)
 }
 
-// filter takes in a list of the fleet, or changes, and returns the same of the selected servers
-// and of those that are selected no longer. isKnown reports whether the decision module knows a
+// filter applies a list of the fleet, or changes, and returns the entries of it that concern selected
+// servers and those no longer selected. isKnown reports whether the decision module knows a
 // server.
 func (s *fleetSubset) filter(kind balancer.ListKind, hosts []Host, isKnown func(name string) bool) []Host {
 	listed := map[string]bool{}
@@ -55,15 +55,15 @@
 	if kind == balancer.ListDelta {
 		filtered = append(filtered, s.removals(removed)...)
 	}
-	// Of the selected servers, a snapshot gives all it lists, and a change those that changed
-	// or were added: it must not cost a walk over the fleet.
+	// Of the selected servers, a snapshot returns all that it lists, and a delta only those that
+	// changed or were added, since a delta must not cost an iteration over the fleet.
 	for _, name := range added {
 		listed[name] = true
 	}
 	return append(filtered, s.selectedHosts(listed)...)
 }
 
-// updateFleet takes in one server of a list or change.
+// updateFleet applies one entry of a list or delta.
 func (s *fleetSubset) updateFleet(h Host) {
 	if h.State == balancer.Removed {
 		delete(s.fleet, h.Name)
@@ -77,7 +77,7 @@
 	}
 }
 
-// removeUnlisted removes the servers that a snapshot does not list any more.
+// removeUnlisted removes the servers that a snapshot no longer lists.
 func (s *fleetSubset) removeUnlisted(listed map[string]bool) {
 	for name := range s.fleet {
 		if !listed[name] {
@@ -87,8 +87,8 @@
 	}
 }
 
-// selectedHosts returns the selected ones of some servers, by name: simulations on virtual time
-// must not depend on the order of a map.
+// selectedHosts returns those of the named servers that are selected, sorted by name: simulations
+// on virtual time must not depend on the iteration order of a map.
 func (s *fleetSubset) selectedHosts(names map[string]bool) []Host {
 	var selected []Host
 	for name := range names {
@@ -100,7 +100,7 @@
 	return selected
 }
 
-// removals returns entries by which the decision module drops servers: nothing new is sent there,
+// removals returns entries that remove servers from the decision module: nothing new is sent to them,
 // and pending attempts continue.
 func (s *fleetSubset) removals(names []string) []Host {
 	var hosts []Host
@@ -113,7 +113,7 @@
 	return hosts
 }
 
-// reselect selects anew, and returns the changes.
+// reselect computes a new selection, and returns the changes.
 func (s *fleetSubset) reselect() []Host {
 	added, removed := s.selector.Select()
 	hosts := s.removals(removed)
@@ -123,15 +123,15 @@
 	return hosts
 }
 
-// reselect has the subset select anew, and passes the changes on.
+// reselect computes a new selection, and applies the changes.
 func (e *Engine) reselect(now balancer.Micros) {
 	if hosts := e.subset.reselect(); len(hosts) > 0 {
 		e.applyHosts(now, balancer.ListLocal, hosts)
 	}
 }
 
-// observeOutcome reports the outcome of an attempt or health check to Options.Observe and to the
-// subset. The subset learns nothing where nothing was sent, or nobody waited for the answer.
+// observeOutcome reports the outcome of an attempt or health check to Options.ObserveOutcome and to
+// the subset. The subset ignores attempts that were not sent, or that were cancelled.
 func (e *Engine) observeOutcome(now balancer.Micros, id uint32, status balancer.Status) {
 	ep := e.endpoints.byID[id]
 	if ep == nil {
--- a/internal/engine/subset_test.go
+++ b/internal/engine/subset_test.go
@@ -13,7 +13,7 @@
 	"pinedale/internal/subset"
 )
 
-// readyDecider keeps the endpoints that the decider knows as ready.
+// readyDecider records which endpoints were passed to the decider as ready.
 type readyDecider struct {
 	Decider
 	ready map[uint32]bool
@@ -33,7 +33,7 @@
 	d.Decider.UpdateEndpoints(now, kind, entries)
 }
 
-// subsetModel plays random lists, outcomes and loads against an engine that uses a subset of its fleet.
+// subsetModel applies random lists, outcomes and loads to an engine that uses a subset of its fleet.
 type subsetModel struct {
 	engine   *Engine
 	up       *fakeUpstream
@@ -66,7 +66,7 @@
 	return m
 }
 
-// drawHost returns one of 15 servers, at one of its two addresses, in one of some states.
+// drawHost returns one of 15 servers, at one of its two addresses, in one of the given states.
 func drawHost(t *rapid.T, states ...balancer.State) Host {
 	state := rapid.SampledFrom(states).Draw(t, "state")
 	n := rapid.IntRange(0, 14).Draw(t, "server")
@@ -80,7 +80,7 @@
 	}
 }
 
-// step plays one random event.
+// step applies one random event.
 func (m *subsetModel) step(t *rapid.T) {
 	e := m.engine
 	switch rapid.SampledFrom([]string{"delta", "delta", "full", "failed", "outcome", "load"}).Draw(t, "step") {
@@ -109,7 +109,7 @@
 	}
 }
 
-// sortedHosts returns the listed hosts in an order that does not depend on that of the map.
+// sortedHosts returns the listed hosts in an order independent of the map's.
 func (m *subsetModel) sortedHosts() []Host {
 	var hosts []Host
 	for _, h := range m.listed {
@@ -132,24 +132,24 @@
 			ready++
 			ep := m.engine.endpoints.byID[id]
 			if ep == nil || ep.target == nil || ep.target.Address != h.Address || !m.decider.ready[id] {
-				t.Fatalf("%s is selected, and the decider does not know it at %s", name, h.Address)
+				t.Fatalf("%s is selected, but the decider does not know it as ready at %s", name, h.Address)
 			}
 		} else if m.decider.ready[id] {
-			t.Fatalf("%s is not selected, and the decider knows it", name)
+			t.Fatalf("%s is not selected, but the decider knows it as ready", name)
 		}
 	}
 	if ready != len(m.decider.ready) || ready < min(4, listedReady) {
-		t.Fatalf("%d of %d are selected, the decider knows %d", ready, listedReady, len(m.decider.ready))
+		t.Fatalf("%d of %d ready servers selected; the decider knows %d", ready, listedReady, len(m.decider.ready))
 	}
 	for _, target := range m.up.retired {
 		if !target.Closed() {
-			t.Fatal("a target that is retired is open")
+			t.Fatal("a retired target is not closed")
 		}
 	}
 }
 
-// Whatever is listed and however servers fare: the decider knows the selected servers as ready and no others, each
-// at the address where it was last listed, and targets that are not used any more are closed.
+// For any lists and outcomes, the decider knows exactly the selected servers as ready, each at the address where it
+// was last listed, and targets no longer in use are closed.
 func TestDeciderKnowsExactlyTheSelectedServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newSubsetModel(t)
@@ -160,7 +160,7 @@
 	})
 }
 
-// What an engine does with a request where it uses 20 servers of fleets of any size, and where it uses all.
+// BenchmarkRequest measures a request at an engine that uses a subset of 20 servers, or all servers, of a fleet.
 func BenchmarkRequest(b *testing.B) {
 	for _, useSubset := range []bool{true, false} {
 		for _, n := range []int{10, 100, 1000, 10_000} {
--- a/internal/subset/churn_test.go
+++ b/internal/subset/churn_test.go
@@ -9,7 +9,7 @@
 	_ "pinedale/internal/standin/seeds"
 )
 
-// churn applies random changes to a subset, and tracks the selection by the changes that Select returns.
+// churn applies random changes to a subset, and tracks the expected selection from the changes that Select returns.
 type churn struct {
 	config   Config
 	subset   *Subset
@@ -17,8 +17,8 @@
 	expected map[string]bool
 }
 
-// selectAndCheck calls Select and checks that the changes that it returned add up to the selection. It returns how many
-// servers were added or removed, and how many of these are healthy.
+// selectAndCheck calls Select and checks that its changes add up to the selection. It returns how many servers were
+// added or removed, and how many of these are healthy.
 func (c *churn) selectAndCheck(t *rapid.T) (changed, healthy int) {
 	added, removed := c.subset.Select()
 	for _, name := range added {
@@ -39,12 +39,12 @@
 		}
 	}
 	if got := selectedNames(c.subset); len(got) != len(c.expected) {
-		t.Fatalf("%d servers selected, %d by the sum of changes", len(got), len(c.expected))
+		t.Fatalf("%d servers selected, but the changes add up to %d", len(got), len(c.expected))
 	}
 	return len(added) + len(removed), countHealthy(c.subset, slices.Concat(added, removed))
 }
 
-// step applies one random change and reports whether it was one of a server's health.
+// step applies one random change and reports whether it changed the health of a server.
 func (c *churn) step(t *rapid.T, servers []Server) (healthChange bool) {
 	server := rapid.SampledFrom(servers).Draw(t, "server")
 	switch rapid.SampledFrom([]string{"add", "add", "add", "move", "remove", "fail", "answer"}).Draw(t, "step") {
@@ -68,7 +68,7 @@
 	return false
 }
 
-// checkSize checks that all wanted servers are healthy, unless too few are.
+// checkSize checks that, if no server fails, as many healthy servers are selected as wanted or available.
 func (c *churn) checkSize(t *rapid.T) {
 	s := c.subset
 	healthy, selectedHealthy := 0, 0
@@ -86,7 +86,7 @@
 	}
 }
 
-// checkHistoryIndependence checks that a new subset of the same servers selects the same.
+// checkHistoryIndependence checks that a new subset of the same servers makes the same selection.
 func (c *churn) checkHistoryIndependence(t *rapid.T) {
 	rebuilt := newSubset(t, c.config)
 	for _, server := range c.listed {
@@ -97,7 +97,7 @@
 	}
 	rebuilt.Select()
 	if !slices.Equal(selectedNames(c.subset), selectedNames(rebuilt)) {
-		t.Fatalf("selected %v, by a new subset %v", selectedNames(c.subset), selectedNames(rebuilt))
+		t.Fatalf("selected %v, but a new subset selects %v", selectedNames(c.subset), selectedNames(rebuilt))
 	}
 }
 
@@ -123,16 +123,16 @@
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			healthChange := c.step(t, servers)
 			changed, healthy := c.selectAndCheck(t)
-			// A unit's servers and its successor's; where a site runs short, the same of each other site.
+			// The servers of a unit and its successor; if a site has too few servers, the same at each other site.
 			limit := 2 * unitSize * max(1, len(s.sites))
 			if !healthChange && healthy > limit {
-				t.Fatalf("%d healthy servers changed for one server, %d allowed", healthy, limit)
+				t.Fatalf("%d healthy servers changed after a change of one server, at most %d allowed", healthy, limit)
 			}
 			if !healthChange && !hasFailing(s) && changed > limit {
-				t.Fatalf("%d servers changed for one server where none fails, %d allowed", changed, limit)
+				t.Fatalf("%d servers changed after a change of one server with none failing, at most %d allowed", changed, limit)
 			}
 			if limit := (maxServersPerWanted+1)*s.sizing.size + 2*serversPerPod*len(s.sites); len(c.expected) > limit {
-				t.Fatalf("%d servers selected where %d are wanted", len(c.expected), s.sizing.size)
+				t.Fatalf("%d servers selected, but %d wanted", len(c.expected), s.sizing.size)
 			}
 		}
 		c.checkSize(t)
--- a/internal/subset/config.go
+++ b/internal/subset/config.go
@@ -4,7 +4,7 @@
 
 // Bounds of the fields of Config.
 const (
-	lowestMinSize      = 2 // a retry needs another server
+	lowestMinSize      = 2 // a retry needs a second server
 	highestMinSize     = 1_000_000
 	highestPerInFlight = 1000
 )
@@ -15,7 +15,7 @@
 	Site        string  // site of the instance
 	MinSize     int     // minimum number of servers
 	PerInFlight float64 // further servers per request in flight
-	RankPods    bool    // rank pods in place of single servers
+	RankPods    bool    // rank pods instead of single servers
 }
 
 // ConfigError reports a field of Config that is missing or out of range.
--- a/internal/subset/helpers_test.go
+++ b/internal/subset/helpers_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// startTime is an arbitrary instant from which tests count.
+// startTime is an arbitrary start time for tests.
 var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newSubset(t rapid.TB, c Config) *Subset {
@@ -20,7 +20,7 @@
 	return s
 }
 
-// newSubsetOf returns a subset of the servers after its first Select.
+// newSubsetOf returns a subset of the servers, after the first Select.
 func newSubsetOf(t rapid.TB, c Config, servers []Server) *Subset {
 	t.Helper()
 	s := newSubset(t, c)
@@ -31,7 +31,7 @@
 	return s
 }
 
-// makeServers returns n servers, assigned to the sites in turn, four to a pod within a site.
+// makeServers returns n servers, assigned to the sites in turn, with four servers per pod within a site.
 func makeServers(n, siteCount int) []Server {
 	const (
 		testPodSize     = 4
@@ -72,7 +72,7 @@
 	return counts
 }
 
-// markFailing records as many failures of a server as make it count as failing.
+// markFailing records enough failures of a server for it to count as failing.
 func markFailing(s *Subset, name string) {
 	for range failureThreshold {
 		s.ObserveOutcome(name, false)
--- a/internal/subset/select.go
+++ b/internal/subset/select.go
@@ -7,7 +7,7 @@
 	// multiple of the wanted number. If most of a site's servers fail, selecting more of them
 	// does not help.
 	maxServersPerWanted = 4
-	// serversPerPod is how many servers of a pod are selected: one, and another for retries.
+	// serversPerPod is the number of servers selected of a pod: one, and a second one for retries.
 	serversPerPod = 2
 )
 
@@ -37,8 +37,8 @@
 	return added, removed
 }
 
-// selectMembers selects members of each site up to its quota. If a site has too few healthy
-// servers for its quota, sites that filled theirs supply the rest, the instance's own site first.
+// selectMembers selects members of each site up to the site's quota. If a site has too few healthy
+// servers, sites that filled their quotas supply the rest, the instance's own site first.
 func (s *Subset) selectMembers() map[*member]bool {
 	selected := map[*member]bool{}
 	quotas := s.quotas()
@@ -98,8 +98,8 @@
 }
 
 // quotas returns the number of healthy servers wanted of each site: half from the instance's
-// own site, and the rest from the others in equal parts. If one of them has too few servers, the
-// others make up for it, and if they cannot, the own site.
+// own site, and the rest from the others in equal parts. If a site has too few servers, the
+// other remote sites make up for it, and then the instance's own.
 func (s *Subset) quotas() map[string]int {
 	a := allocation{subset: s, quotas: map[string]int{}, remaining: s.sizing.size}
 	localSite := s.config.Site
--- a/internal/subset/select_test.go
+++ b/internal/subset/select_test.go
@@ -12,7 +12,7 @@
 	return Config{Instance: instance, Site: "a", MinSize: 12, PerInFlight: 2}
 }
 
-// Ranks determine which servers each instance uses. The values are those of an earlier build and must not change.
+// Ranks determine which servers each instance uses. The values come from an earlier build and must not change.
 func TestRankOfKnownInputsIsUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		instance, kind, name string
@@ -35,7 +35,7 @@
 	}
 }
 
-// A fleet of no more servers than the wanted size is selected completely.
+// A fleet with no more servers than the wanted size is selected completely.
 func TestSelectionOfSmallFleetIsComplete(t *testing.T) {
 	s := newSubsetOf(t, threeSiteConfig("one"), makeServers(10, 2))
 	if len(selectedNames(s)) != 10 {
@@ -46,13 +46,13 @@
 func TestSelectionTakesHalfFromLocalSite(t *testing.T) {
 	s := newSubsetOf(t, threeSiteConfig("one"), makeServers(300, 3))
 	if got := selectedPerSite(s); got != [3]int{6, 3, 3} {
-		t.Errorf("selected per site: %v, want half from the own site", got)
+		t.Errorf("selected per site: %v, want half from the instance's own site", got)
 	}
 	if !s.ObserveLoad(startTime, 10) || s.sizing.size != 32 {
-		t.Errorf("ten requests in flight: %d servers wanted", s.sizing.size)
+		t.Errorf("ten requests in flight: %d servers wanted, must be 32", s.sizing.size)
 	}
 	if s.Select(); selectedPerSite(s) != [3]int{16, 8, 8} {
-		t.Errorf("selected per site after growth: %v", selectedPerSite(s))
+		t.Errorf("selected per site after growth: %v, want [16 8 8]", selectedPerSite(s))
 	}
 }
 
@@ -72,18 +72,18 @@
 	}
 }
 
-// A selected server that fails stays selected beside a substitute until it answers.
+// A failing server stays selected, together with a substitute, until it answers again.
 func TestFailingServerStaysSelectedBesideSubstitute(t *testing.T) {
 	s := newSubsetOf(t, threeSiteConfig("one"), makeServers(300, 3))
 	failing := selectedNames(s)[0]
 	for n := range failureThreshold {
 		if changed := s.ObserveOutcome(failing, false); changed != (n == failureThreshold-1) {
-			t.Errorf("failure %d: changed %t", n+1, changed)
+			t.Errorf("failure %d: ObserveOutcome returned %t", n+1, changed)
 		}
 	}
 	added, removed := s.Select()
 	if len(added) != 1 || len(removed) != 0 || !s.Contains(failing) {
-		t.Errorf("after a server failed: added %v, removed %v", added, removed)
+		t.Errorf("after a server failed: added %v, removed %v; want one added and none removed", added, removed)
 	}
 	if !s.ObserveOutcome(failing, true) {
 		t.Error("the recovery of a selected server was not reported as a change")
@@ -106,7 +106,7 @@
 	s.Select()
 	perSite := selectedPerSite(s)
 	if perSite[0] > maxServersPerWanted*16+serversPerPod || perSite[1]+perSite[2] < 32 {
-		t.Errorf("selected per site with the own site lost: %v", perSite)
+		t.Errorf("selected per site with all servers of the instance's own site failing: %v", perSite)
 	}
 }
 
@@ -125,8 +125,8 @@
 }
 
 // Failing servers are selected in addition, so that their recovery is noticed, and removed when enough healthy servers
-// rank before them. If one server is added, more servers may then change than those of a pod, but no more healthy ones
-// than those of a pod and its successor.
+// rank before them. Adding one server may then change more servers than those of one pod, but no more healthy ones than
+// those of a pod and its successor.
 func TestFailingServersAreRemovedWhenHealthyOneIsAdded(t *testing.T) {
 	s := newSubset(t, Config{Instance: "a", Site: "a", MinSize: 4, PerInFlight: 1, RankPods: true})
 	servers := makeServers(17, 1)
@@ -146,7 +146,7 @@
 	}
 }
 
-// Servers are selected by about the same number of instances, as evenly as with independent random selections.
+// Each server is selected by about the same number of instances, as evenly as with independent random selections.
 func TestInstancesSelectServersEvenly(t *testing.T) {
 	const (
 		instanceCount = 2000
@@ -164,13 +164,13 @@
 	}
 	deviation := math.Sqrt(mean * (1 - float64(minSize)/serverCount))
 	for name, n := range instances {
-		// The chance of one of 200 beyond this is 0.0014; the names are fixed.
+		// The probability that any of the 200 servers exceeds this is 0.0014; the names are fixed.
 		if math.Abs(float64(n)-mean) > 4.5*deviation {
-			t.Errorf("%s is selected by %d instances, the mean is %d", name, n, mean)
+			t.Errorf("%s is selected by %d instances, want about the mean, %d", name, n, mean)
 		}
 	}
 	if len(instances) != serverCount {
-		t.Errorf("only %d of %d servers are selected at all", len(instances), serverCount)
+		t.Errorf("%d of %d servers are selected by any instance, want all", len(instances), serverCount)
 	}
 }
 
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -10,8 +10,8 @@
 	"pinedale/internal/splitmix"
 )
 
-// failureThreshold is the number of consecutive failures from which a server counts as failing.
-// A single connection reset is no evidence of a failure.
+// failureThreshold is the number of consecutive failures after which a server counts as failing.
+// A single connection reset is not evidence of a failure.
 const failureThreshold = 3
 
 // Server is a server that is ready to take requests.
@@ -24,7 +24,7 @@
 // member is a server with its state in the subset.
 type member struct {
 	Server
-	rank     uint64 // place in the instance's order, lowest first
+	rank     uint64 // position in the instance's order, lowest first
 	unit     *unit  // that contains this member
 	failures int    // consecutive
 	selected bool   // as of the last Select
@@ -40,7 +40,7 @@
 type unit struct {
 	pod     uint16    // of a pod, 0 for a server
 	name    string    // of a server, "" for a pod
-	rank    uint64    // place in the instance's order, lowest first
+	rank    uint64    // position in the instance's order, lowest first
 	members []*member // sorted by compareMembers
 }
 
@@ -73,8 +73,8 @@
 	}, nil
 }
 
-// rank returns the place of a server or pod in this instance's order. It depends on its
-// arguments and the instance's name alone.
+// rank returns the position of a server or pod in this instance's order. It depends only on its
+// arguments and the instance's name.
 func (s *Subset) rank(kind, name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%d %s%s%s", len(s.config.Instance), s.config.Instance, kind, name) // a hash never fails
