--- a/internal/ctxtime/ctxtime.go
+++ b/internal/ctxtime/ctxtime.go
@@ -1,4 +1,4 @@
-// Package ctxtime waits for time to pass until a context ends.
+// Package ctxtime provides sleeping that a context can end.
 package ctxtime
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep waits for a duration, or until ctx ends. It reports whether the whole duration has passed. A duration that is
-// not positive passes at once, unless ctx has ended.
+// Sleep waits for a duration, or until ctx ends. It reports whether the whole duration has passed. A duration of zero
+// or less passes immediately, unless ctx has ended.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/ctxtime/ctxtime_test.go
+++ b/internal/ctxtime/ctxtime_test.go
@@ -11,10 +11,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		if !Sleep(t.Context(), time.Minute) {
-			t.Error("ended by its context, which goes on")
+			t.Error("Sleep reported an early end, but its context had not ended")
 		}
 		if elapsed := time.Since(start); elapsed != time.Minute {
-			t.Errorf("lasted %v, want 1m", elapsed)
+			t.Errorf("Sleep took %v, want 1m", elapsed)
 		}
 	})
 }
@@ -25,10 +25,10 @@
 		defer cancel()
 		start := time.Now()
 		if Sleep(ctx, time.Minute) {
-			t.Error("reports that the minute has passed")
+			t.Error("Sleep reported that the minute had passed")
 		}
 		if elapsed := time.Since(start); elapsed != time.Second {
-			t.Errorf("lasted %v, want 1s", elapsed)
+			t.Errorf("Sleep took %v, want 1s", elapsed)
 		}
 	})
 }
--- a/internal/requestmeta/deadline.go
+++ b/internal/requestmeta/deadline.go
@@ -7,16 +7,16 @@
 	"pinedale/balancer"
 )
 
-// MaxRequestTime is the longest time that a request gets, whatever its client requests.
+// MaxRequestTime is the longest time that a request may take, whatever its client asks for.
 const MaxRequestTime = time.Minute
 
-// ResponseMargin of a client's time is reserved for writing the response: some clients have 40 ms in all.
+// ResponseMargin is the part of a client's time reserved for writing the response: some clients have only 40 ms.
 const ResponseMargin = 2 * time.Millisecond
 
 const microsPerMilli = 1000
 
-// parseDeadline returns the instant by which the engine must respond: the least of the client's remaining
-// time, the bounds' and MaxRequestTime after the arrival, less ResponseMargin.
+// parseDeadline returns the instant by which the engine must respond: the arrival plus the shortest of the client's
+// remaining time, the limit of the class or route, and MaxRequestTime, less ResponseMargin.
 func parseDeadline(router Router, b *Bounds, in *Request) (balancer.Micros, error) {
 	allowed := MaxRequestTime.Microseconds()
 	if b.Deadline > 0 {
@@ -27,7 +27,7 @@
 		if err != nil {
 			return 0, BadRequest("%s: %q is not a whole number of milliseconds", HeaderTimeLeft, header)
 		}
-		millis = min(millis, uint64(MaxRequestTime.Milliseconds())) // before it is converted: it may be huge
+		millis = min(millis, uint64(MaxRequestTime.Milliseconds())) // before the conversion, which could overflow
 		allowed = min(allowed, int64(millis)*microsPerMilli)
 	}
 	return in.At + allowed - ResponseMargin.Microseconds(), nil
--- a/internal/requestmeta/parse.go
+++ b/internal/requestmeta/parse.go
@@ -10,27 +10,27 @@
 	"pinedale/balancer"
 )
 
-// maxIDBytes bounds an id and a key: those of the protocol have 16 and 32 bytes.
+// maxIDBytes is the maximum length of an id or idempotency key. Those of the protocol have 16 and 32 bytes.
 const maxIDBytes = 256
 
 // The headers of a request.
 const (
-	HeaderID       = "X-Correlation-Id" // one for each request; free again after its response
+	HeaderID       = "X-Correlation-Id" // unique per request; may be reused after the response
 	HeaderClass    = "X-Service-Class"
 	HeaderTenant   = "X-Account"
 	HeaderSubject  = "X-Session-Key"
 	HeaderTimeLeft = "X-Time-Left-Ms"
-	HeaderRepeat   = "X-Repeat"      // 1: the client itself retries
+	HeaderRepeat   = "X-Repeat"      // 1 if the request is a retry by the client
 	HeaderHint     = "X-Weight-Hint" // expected work in microseconds
 	HeaderKey      = "Idempotency-Key"
 )
 
-// singleValueHeaders may occur once only. Another hop could go by the second value where this one goes by
-// the first.
+// singleValueHeaders may occur only once. Otherwise another hop could use the second value where this one uses the
+// first.
 var singleValueHeaders = []string{HeaderID, HeaderClass, HeaderTenant, HeaderSubject, HeaderTimeLeft, HeaderRepeat,
 	HeaderHint, HeaderKey}
 
-// Parser parses requests for the classes and tenants of one installation. It may be shared.
+// Parser parses requests for the classes and tenants of one installation. It is safe for concurrent use.
 type Parser struct{ router atomic.Pointer[Router] }
 
 // NewParser returns a parser for the classes and tenants of the settings.
@@ -56,26 +56,26 @@
 // Request is a request as a front receives it, before its body.
 type Request struct {
 	Method string
-	Host   string // as the request names it, with or without port
+	Host   string // as in the request, with or without a port
 	Path   string // without the query
 	Header http.Header
-	Body   bool            // it has a body, or may have one
+	Body   bool            // whether the request has a body, or may have one
 	At     balancer.Micros // arrival, by the engine's clock
 }
 
-// Parsed is a request as the balancer receives it, with its id and key.
+// Parsed is a request in the form that the balancer takes, with its id and key.
 type Parsed struct {
 	balancer.Request
 	CorrelationID  string
 	IdempotencyKey string // "" unless the class has idempotency keys
 }
 
-// Parse parses the header of a request. Its errors are *Error.
+// Parse parses the headers of a request. All its errors are of type *Error.
 func (p *Parser) Parse(in Request) (Parsed, error) {
 	var out Parsed
 	for _, name := range singleValueHeaders {
 		if n := len(in.Header[name]); n > 1 {
-			return out, BadRequest("%s is there %d times", name, n)
+			return out, BadRequest("header %s occurs %d times, must occur once", name, n)
 		}
 	}
 	out.CorrelationID = in.Header.Get(HeaderID)
@@ -112,7 +112,7 @@
 	return out, err
 }
 
-// apply sets what a class or route says of its requests.
+// apply sets the properties that a class or route gives its requests.
 func (p *Parsed) apply(b *Bounds) {
 	p.Class = b.Class
 	p.AttemptTimeout = b.AttemptTimeout
@@ -123,7 +123,7 @@
 	p.Pool = b.Pool
 }
 
-// parseKey returns the idempotency key of a request whose class needs one, "" for other classes.
+// parseKey returns the idempotency key of a request whose class requires one, "" for other classes.
 func parseKey(b *Bounds, key string) (string, error) {
 	if b.Idempotency != balancer.IdempotentWithKey {
 		return "", nil
@@ -137,22 +137,22 @@
 	return key, nil
 }
 
-// checkMethod checks a request's method: that of its class, unless its route names the methods.
+// checkMethod checks the method of a request against its class, unless its route lists the methods.
 func checkMethod(b *Bounds, in *Request) error {
 	method := http.MethodPost
 	if b.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if in.Method != method && !b.RestrictsMethods {
-		return &Error{http.StatusMethodNotAllowed, fmt.Sprintf("requests of this class are %s", method)}
+		return &Error{http.StatusMethodNotAllowed, fmt.Sprintf("requests of this class must use method %s", method)}
 	}
 	if in.Method == http.MethodGet && in.Body {
-		return BadRequest("a GET has no body")
+		return BadRequest("a GET request must have no body")
 	}
 	return nil
 }
 
-// parseOptional parses the headers that a request may do without.
+// parseOptional parses the optional headers.
 func (p *Parsed) parseOptional(header http.Header) error {
 	if hint := header.Get(HeaderHint); hint != "" {
 		micros, err := strconv.ParseUint(hint, 10, 63)
--- a/internal/requestmeta/parse_test.go
+++ b/internal/requestmeta/parse_test.go
@@ -26,7 +26,7 @@
 	return h
 }
 
-// Each header is parsed into its field; the deadline is bounded.
+// Each header is parsed into its field, and the deadline is bounded.
 func TestParseReadsHeaders(t *testing.T) {
 	p := NewParser(settings)
 	got, err := p.Parse(Request{Method: "POST", Path: "/pay/x", At: 5_000_000, Header: headers(
@@ -47,7 +47,7 @@
 	}
 	_, err = p.Parse(Request{Method: "PATCH", Path: "/order", Header: headers(HeaderID, "c2", HeaderClass, "order")})
 	if StatusCode(err) != 405 {
-		t.Errorf("a wrong method: %v", err)
+		t.Errorf("request with method PATCH: error %v, want status 405", err)
 	}
 }
 
--- a/internal/requestmeta/router.go
+++ b/internal/requestmeta/router.go
@@ -7,16 +7,16 @@
 	"pinedale/balancer"
 )
 
-// Bounds are the properties and limits of the requests of a class or route. A zero limit is none.
+// Bounds are the properties and limits of the requests of a class or route. A limit of zero means no limit.
 type Bounds struct {
-	Class            uint8 // number, as the balancer has it
+	Class            uint8 // number of the class in the balancer's settings
 	ClassName        string
 	Idempotency      balancer.Idempotency
-	RestrictsMethods bool            // the route lists its methods, the class's does not matter
+	RestrictsMethods bool            // the route lists its methods, so that the class's does not apply
 	Deadline         balancer.Micros // longest time for a request
 	AttemptTimeout   balancer.Micros // balancer.Request.AttemptTimeout
 
-	// As the fields of balancer.Request.
+	// These have the meaning of the same fields of balancer.Request.
 	HedgeDelay  balancer.Micros
 	MaxAttempts int
 	NoHedging   bool
@@ -24,9 +24,9 @@
 	Pool        uint8
 }
 
-// Router finds the class or route of a request. A router is immutable and may be shared.
+// Router finds the class or route of a request. It must be immutable, and so is safe for concurrent use.
 type Router interface {
-	// HasRoutes reports whether requests are matched by Route. Otherwise they name their class.
+	// HasRoutes reports whether requests are matched by Route. Otherwise requests name their class.
 	HasRoutes() bool
 	// Route returns the bounds of the route that matches a request.
 	Route(in *Request) (*Bounds, bool)
@@ -38,7 +38,7 @@
 	Tenants() int
 }
 
-// settingsRouter is the router of the balancer's settings: requests name their class.
+// settingsRouter is the router for the balancer's settings alone: requests name their class.
 type settingsRouter struct {
 	classes map[string]*Bounds
 	tenants map[string]uint16
@@ -58,13 +58,13 @@
 	return number, ok
 }
 
-// findBounds returns the bounds of a request: by its route, or by the class that it names.
+// findBounds returns the bounds for a request: those of its route, or of the class that it names.
 func findBounds(router Router, in *Request) (*Bounds, error) {
 	name := in.Header.Get(HeaderClass)
 	if router.HasRoutes() {
 		bounds, ok := router.Route(in)
 		if !ok {
-			return nil, &Error{http.StatusNotFound, "no route is of this request"}
+			return nil, &Error{http.StatusNotFound, "no route matches this request"}
 		}
 		if name != "" && name != bounds.ClassName {
 			return nil, BadRequest("%s: %q, but the route's class is %q", HeaderClass, name, bounds.ClassName)
@@ -77,7 +77,7 @@
 	}
 	firstSegment, _, _ := strings.Cut(strings.TrimPrefix(in.Path, "/"), "/")
 	if firstSegment != name {
-		return nil, BadRequest("the path is not of %s %q", HeaderClass, name)
+		return nil, BadRequest("%s: %q is not the first segment of the path", HeaderClass, name)
 	}
 	return bounds, nil
 }
--- a/internal/splitmix/splitmix_test.go
+++ b/internal/splitmix/splitmix_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The first outputs of the reference generator with seed 0.
+// The expected values are the first outputs of the reference generator with seed 0.
 func TestMixMatchesReferenceGenerator(t *testing.T) {
 	const increment = 0x9e3779b97f4a7c15
 	state := uint64(0)
