--- a/balancer/api.go
+++ b/balancer/api.go
@@ -4,7 +4,7 @@
 // clock never runs backwards.
 type Micros = int64
 
-// State is the state of an endpoint, by discovery.
+// State is the state of an endpoint as reported by discovery.
 type State uint8
 
 // The states of an endpoint.
@@ -17,30 +17,30 @@
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID        uint32
-	StableID  uint64 // the same at every balancer; 0 where ID is that
+	StableID  uint64 // the same at every balancer; 0 if ID is the same at every balancer
 	Zone      uint8
 	Kind      uint8
 	Cell      uint16
 	State     State
 	Weight    float32
 	Pools     uint64 // bit n-1 is set for an endpoint in pool n
-	StartTime Micros // of its process; 0 if unknown or long ago
+	StartTime Micros // when its process started; 0 if unknown or long ago
 }
 
-// ListKind is how the entries of a membership event are to be read.
+// ListKind states how the entries of a membership event are to be interpreted.
 type ListKind uint8
 
 // The kinds of membership event.
 const (
 	ListDelta  ListKind = iota // changed entries only
 	ListFull                   // the complete list
-	ListCached                 // the complete list from a cache, perhaps out of date
+	ListCached                 // the complete list from a cache, possibly out of date
 	ListFailed                 // a poll of discovery failed; no entries
-	ListLocal                  // changed entries of the host, not of discovery
-	ListPart                   // changed entries of a list of which more follow
+	ListLocal                  // changed entries supplied by the host rather than by discovery
+	ListPart                   // changed entries of a list of which further parts follow
 )
 
-// Request is a client's request. It has exactly one final answer: an outcome that settles it, Actions.Reject or
+// Request is a client's request. It gets exactly one final answer: an outcome that settles it, Actions.Reject or
 // Actions.Fail.
 type Request struct {
 	ID          uint64
@@ -48,81 +48,81 @@
 	Deadline    Micros // the instant at which the client stops waiting
 	WorkHint    Micros // expected work; valid if HasWorkHint
 	HasWorkHint bool
-	ClientRetry bool // the client marked it as a retry
+	ClientRetry bool // the client marked the request as a retry
 	Write       bool
 	Tenant      uint16
 	Class       uint8
 	MaxAttempts int  // lowers Limits.MaxAttempts; 0 for no lower limit
-	NoHedging   bool // it is not hedged, whatever the limits permit
+	NoHedging   bool // the request is never hedged, even if the limits permit it
 
-	AttemptTimeout Micros // of one attempt; 0 for all that remains
-	HedgeDelay     Micros // after which a pending first attempt is hedged; 0 for the default
-	Budget         uint16 // of Settings.Budgets, counted from 1; 0 for the common one
-	Pool           uint8  // to which it is restricted, 1 to 64; 0 for all endpoints
+	AttemptTimeout Micros // timeout of one attempt; 0 for all the time until the deadline
+	HedgeDelay     Micros // delay after which a pending first attempt is hedged; 0 for the default
+	Budget         uint16 // index into Settings.Budgets, counted from 1; 0 for the shared budget
+	Pool           uint8  // pool that the request is restricted to, 1 to 64; 0 for all endpoints
 
-	// MayHaveRun is set if an attempt at the same effect was made before this request was taken, and may have
-	// run: PreviousAttempt counts as the first attempt.
+	// MayHaveRun is set if an attempt with the same effect was made before this request was received and may have
+	// run. PreviousAttempt then counts as the first attempt.
 	MayHaveRun      bool
 	PreviousAttempt PreviousAttempt
 }
 
-// PreviousAttempt is an attempt made before a request was taken.
+// PreviousAttempt is an attempt made before the balancer received the request.
 type PreviousAttempt struct {
 	At   Micros
 	Zone uint8
 	Cell uint16
 }
 
-// Status is how an attempt or a probe ended.
+// Status is the result of an attempt or a probe.
 type Status uint8
 
-// The ends of an attempt. Full, ConnectFailed and NotSent prove that it never ran; after the others but OK it may
-// have run.
+// The results of an attempt. Full, ConnectFailed and NotSent prove that the attempt never ran; after any other result
+// except OK it may have run.
 const (
 	OK            Status = iota
 	Error                // an error returned by the endpoint
 	Full                 // rejected without being read
-	Timeout              // no answer in time
-	ConnectFailed        // no connection in time
+	Timeout              // no answer within the timeout
+	ConnectFailed        // no connection established in time
 	Reset                // the connection broke
-	Cancelled            // by the balancer
-	NotSent              // never sent
+	Cancelled            // cancelled by the balancer
+	NotSent              // not written to a connection
 )
 
-// Outcome is the end of an attempt. Load is valid during the call only.
+// Outcome is the result of an attempt. Load is valid only during the call.
 type Outcome struct {
 	ID       uint64
-	Attempt  int    // index of the attempt, counted from 0 as sent
-	Endpoint uint32 // that had it, which may differ from the one it was sent to
+	Attempt  int    // index of the attempt in the order of sending, from 0
+	Endpoint uint32 // that handled the attempt, which may differ from the one it was sent to
 	Status   Status
 	Latency  Micros
 	Settled  bool // the request has its final answer
 	Load     []float32
 }
 
-// Actions is what a balancer asks of its host. It is called from within event methods, in the order in which the
-// actions are to take effect.
+// Actions is implemented by the host to carry out the decisions of a balancer. The methods are called from within event
+// methods, in the order in which the actions are to take effect.
 type Actions interface {
-	// Send starts an attempt; a timeout of 0 means until the client's deadline. It must be written by the instant
-	// by, or not at all: later it could have a second effect, or nobody would wait for its answer.
+	// Send starts an attempt; a timeout of 0 means until the client's deadline. The attempt must be written no later than
+	// the instant by, or not at all: a later one could have a second effect, or its answer would come too late.
 	Send(id uint64, endpoint uint32, timeout, by Micros)
-	// Reject is a final answer that promises that a retry is harmless.
+	// Reject gives a final answer that guarantees that a retry is harmless.
 	Reject(id uint64, retryAfter Micros)
-	// Fail is a final answer that promises nothing.
+	// Fail gives a final answer without that guarantee.
 	Fail(id uint64)
-	// Cancel cancels an attempt; its outcome is still reported.
+	// Cancel cancels an attempt; its outcome must still be reported.
 	Cancel(id uint64, attempt int)
-	// Timer asks for TimerFired with this token after a delay.
+	// Timer requests a call of TimerFired with this token after a delay.
 	Timer(delay Micros, token uint32)
-	// Probe asks an endpoint for a load report.
+	// Probe requests a load report from an endpoint.
 	Probe(endpoint uint32)
-	// Watch subscribes to discovery, or ends the subscription.
+	// Watch starts or ends the subscription to discovery.
 	Watch(on bool)
-	// Log records an event for on-call staff: a fixed message, then alternating keys and values, as in log/slog.
+	// Log records an event for on-call staff: a fixed message, then alternating keys and values as in log/slog.
 	Log(event string, attributes ...any)
 }
 
-// Balancer decides for one sidecar. Make one with New. It is not safe for concurrent use.
+// Balancer makes the decisions of one sidecar. Create it with New. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	actions  Actions
@@ -145,7 +145,7 @@
 	logged map[event]eventCount
 }
 
-// New returns a balancer, or a *SettingError. Call Start before any other event.
+// New returns a balancer, or a *SettingError if a setting is invalid. Start must be called before any other method.
 func New(s Settings, seed uint64, out Actions) (*Balancer, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -163,8 +163,9 @@
 	return b, nil
 }
 
-// Configure replaces classes and budgets. Requests in flight keep their class: a class keeps its index and may
-// change Retired alone. A budget keeps its balance. An error names the invalid setting, and changes nothing.
+// Configure replaces classes and budgets. Since requests in flight keep their class, a class keeps its index and only
+// its Retired field may change. A budget keeps its balance. On an error, which names the invalid setting, nothing
+// changes.
 func (b *Balancer) Configure(classes []Class, budgets []RetryBudget) error {
 	next := b.settings
 	next.Classes, next.Budgets = classes, budgets
@@ -177,7 +178,7 @@
 		}
 		if i >= len(classes) || class != classes[i] {
 			return &SettingError{Key: "Classes", Value: class.Name,
-				Reason: "must not change while requests in flight may be of it"}
+				Reason: "must not change except for Retired: requests in flight may belong to the class"}
 		}
 	}
 	b.settings = next
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -1,17 +1,17 @@
 package balancer
 
 const (
-	budgetBurst    = 10.0 // attempts: the most that the retry and hedge budgets hold
-	retryEarnRatio = 0.2  // retries that each request earns
+	budgetBurst    = 10.0 // attempts that the shared retry budget and the hedge budget hold at most
+	retryEarnRatio = 0.2  // retries that each request adds to the shared budget
 )
 
-// HandleRequest handles a client's request: it is sent, waits for probes, or is rejected.
+// HandleRequest handles a new request of a client: it is sent, held for probes, or rejected.
 func (b *Balancer) HandleRequest(now Micros, in Request) {
 	if b.ledger.requests[in.ID] != nil {
 		return
 	}
 	if int(in.Class) >= len(b.classes) {
-		b.actions.Reject(in.ID, 0) // its class is unknown, but an answer is owed
+		b.actions.Reject(in.ID, 0) // every request gets a final answer, even one of an unknown class
 		return
 	}
 	b.endpoints.advance(now)
@@ -36,8 +36,8 @@
 	}
 }
 
-// assumePreviousAttempt marks a client's retry with an idempotency key as one whose first attempt may have
-// run and is nearly forgotten: it is sent at once, or not at all.
+// assumePreviousAttempt treats a client's retry with an idempotency key as if its first attempt may have run
+// and its key were about to expire: it is sent at once or not at all.
 func (b *Balancer) assumePreviousAttempt(now Micros, in *Request) {
 	class := &b.settings.Classes[in.Class]
 	if in.ClientRetry && !in.MayHaveRun && class.Idempotency == IdempotentWithKey && class.Group == GroupAll {
@@ -46,7 +46,7 @@
 	}
 }
 
-// sendOrReject decides on a request that is new or has waited for probes.
+// sendOrReject decides on a request that is new or was held for probes.
 func (b *Balancer) sendOrReject(now Micros, r *request) {
 	b.ledger.stopWaiting(r)
 	first := len(r.attempts) == 0
@@ -59,7 +59,7 @@
 	}
 }
 
-// trySend picks an endpoint and sends r to it. Where the breaker stops that, one other endpoint is tried.
+// trySend picks an endpoint and sends r to it. If the breaker rejects that endpoint, one other is tried.
 func (b *Balancer) trySend(now Micros, r *request, first bool) bool {
 	r.priority = b.priority(now, r)
 	e := b.pick(now, r, nil)
@@ -81,7 +81,7 @@
 	return b.send(now, r, e)
 }
 
-// ResponseStarted handles the start of a streamed answer: no deadline and no retry concern it from here on.
+// ResponseStarted handles the start of a streamed answer, after which neither deadline nor retries apply.
 func (b *Balancer) ResponseStarted(now Micros, id uint64, attempt int, latency Micros) {
 	r := b.ledger.requests[id]
 	if r == nil || r.finished || attempt < 0 || attempt >= len(r.attempts) {
@@ -90,7 +90,7 @@
 	r.streaming = true
 }
 
-// AttemptCompleted handles the end of an attempt: the request is done, retried, or rejected.
+// AttemptCompleted handles the result of an attempt: the request is finished, retried or rejected.
 func (b *Balancer) AttemptCompleted(now Micros, o Outcome) {
 	r := b.ledger.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].pending {
@@ -106,14 +106,14 @@
 		r.onTime = 1
 		b.traffic.trialInterval = minTrialInterval
 	} else if r.trial {
-		// An overloaded fleet must work off its queues: trials only add to them.
+		// An overloaded fleet must first drain its queues, and trials add to them.
 		b.traffic.trialInterval = min(2*b.traffic.trialInterval, maxTrialInterval)
 	}
 	if o.Settled || o.Status == OK || r.finished {
 		b.finish(r)
 		return
 	}
-	failed := a.endpoint // before retry, which may move the attempts
+	failed := a.endpoint // read before retry, which may reallocate r.attempts
 	if b.retry(now, r, a) {
 		b.logRetry(now, r, failed, o.Status)
 	} else if r.pending == 0 { // a pending hedge may still be answered
@@ -125,7 +125,8 @@
 // neverRan reports whether a status proves that the attempt had no effect.
 func (s Status) neverRan() bool { return s == Full || s == ConnectFailed || s == NotSent }
 
-// dropped reports whether an attempt was lost: later ones were answered, or nothing was heard since.
+// dropped reports whether an attempt was lost: later attempts were answered, or the endpoint has not
+// responded since.
 func (a *attempt) dropped(status Status) bool {
 	switch status {
 	case Cancelled:
@@ -136,9 +137,9 @@
 	return false
 }
 
-// retry sends r again, if the budget permits. What never ran costs nothing.
+// retry sends r again if the budget permits. Retrying an attempt that never ran costs nothing.
 func (b *Balancer) retry(now Micros, r *request, failed *attempt) bool {
-	cost := indicator(failed.mayHaveRun) // before trySend, which may move the attempts
+	cost := indicator(failed.mayHaveRun) // read before trySend, which may reallocate r.attempts
 	balance, _ := b.budgetOf(r)
 	if *balance < cost || !b.trySend(now, r, false) {
 		return false
--- a/balancer/averages.go
+++ b/balancer/averages.go
@@ -4,7 +4,7 @@
 
 const second Micros = 1_000_000
 
-// ewma is an exponentially weighted moving average that starts at its first sample.
+// ewma is an exponentially weighted moving average, initialized with its first sample.
 type ewma struct {
 	value float64
 	seen  bool
@@ -19,15 +19,15 @@
 	a.value += (sample - a.value) * weight
 }
 
-// or returns the average, or a fallback before the first sample.
-func (a *ewma) or(fallback float64) float64 {
+// valueOr returns the average, or fallback before the first sample.
+func (a *ewma) valueOr(fallback float64) float64 {
 	if a.seen {
 		return a.value
 	}
 	return fallback
 }
 
-// mean is the arithmetic mean of its first samples, and a moving average from then on.
+// mean is the arithmetic mean of the first samples and an exponentially weighted moving average from then on.
 type mean struct {
 	ewma
 	samples int
@@ -38,7 +38,7 @@
 	m.ewma.add(sample, max(weight, 1/float64(m.samples)))
 }
 
-// meter is a rate per second, averaged over about meterSpan.
+// meter measures a rate per second, averaged over about meterSpan.
 type meter struct {
 	sum float64
 	at  Micros
@@ -62,7 +62,7 @@
 	return m.decayed(now) * float64(second) / float64(meterSpan)
 }
 
-// indicator is 1 for true and 0 for false.
+// indicator returns 1 for true and 0 for false.
 func indicator(condition bool) float64 {
 	if condition {
 		return 1
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -3,10 +3,10 @@
 // Start arms the first timers. Call it once, before any other event.
 func (b *Balancer) Start(now Micros) {
 	b.initialize()
-	// A price of 0 permits the maximum.
+	// With a price of 0 the division gives +Inf, so the maximum applies.
 	b.probes.perRequest = min(maxProbesPerRequest, onDemandCostRatio/b.settings.Prices.Probe)
 	if b.settings.PollDiscovery {
-		// All balancers may start at once: spread their first polls.
+		// All balancers may start at the same time, so their first polls are spread out.
 		b.schedulePoll(now, 1+b.random.below(b.settings.Contract.PollInterval/10))
 	}
 	if b.settings.Limits.Probes {
@@ -14,11 +14,12 @@
 	}
 }
 
-// Every request ends through send, reject and fail. They alone enforce the rules, whatever the other
-// decisions are: no second effect, one final answer, nothing to a draining endpoint, slow start honoured.
+// Every request ends through send, reject or fail. Only these functions enforce the rules, so that the rules
+// hold regardless of the other decisions: no second effect, one final answer, nothing sent to a draining
+// endpoint, and the limits of slow start.
 
-// finish marks that the final answer is out, and cancels what is pending. The record stays in the ledger
-// until the last outcome has come.
+// finish marks a request as answered and cancels its pending attempts. The record stays in the ledger until
+// the last outcome is reported.
 func (b *Balancer) finish(r *request) {
 	if !r.finished {
 		b.classes[r.Class].onTime.add(r.onTime, onTimeWeight)
@@ -44,10 +45,10 @@
 	if e.inSlowStart(now, b) && !b.slowStartAllows(now, e, r.work) {
 		return false
 	}
-	return b.hasNoSecondEffect(now, r, e)
+	return b.safeToRepeat(now, r, e)
 }
 
-// mayAttempt reports whether r may have another attempt at all.
+// mayAttempt reports whether the rules permit another attempt of r at any endpoint.
 func (b *Balancer) mayAttempt(now Micros, r *request) bool {
 	limits := &b.settings.Limits
 	if r.finished || r.streaming || r.hasPendingAttempt(limits.Hedging) || now >= r.Deadline {
@@ -57,8 +58,8 @@
 	return sent < limits.MaxAttempts && (r.MaxAttempts <= 0 || sent < r.MaxAttempts)
 }
 
-// hasNoSecondEffect reports whether an attempt at e cannot repeat the effect of an earlier one.
-func (b *Balancer) hasNoSecondEffect(now Micros, r *request, e *endpoint) bool {
+// safeToRepeat reports whether an attempt at e cannot repeat the effect of an earlier attempt.
+func (b *Balancer) safeToRepeat(now Micros, r *request, e *endpoint) bool {
 	first := r.firstMayHaveRun()
 	if first == nil {
 		return true
@@ -73,7 +74,7 @@
 	return false
 }
 
-// sameGroup reports whether e drops repeats of an attempt.
+// sameGroup reports whether e belongs to the group that drops repeats of the first attempt.
 func (c *Class) sameGroup(first *attempt, e *endpoint) bool {
 	switch c.Group {
 	case GroupAll:
@@ -124,7 +125,7 @@
 	return true
 }
 
-// newAttempt returns the record of an attempt at e, with the predictions that it is judged by.
+// newAttempt returns the record of an attempt at e, with the predictions that its outcome is compared with.
 func (b *Balancer) newAttempt(now Micros, r *request, e *endpoint) attempt {
 	affinity := b.affinityOf(now, r, e)
 	work := r.work * b.keys.workRatio[affinity]
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -4,27 +4,27 @@
 // Reliability Engineering, with go-zero's constants.
 const (
 	breakerWindow     = 10 * second
-	breakerBuckets    = 40  // of the window
-	maxAcceptMultiple = 1.5 // K: requests per accept up to which nothing is rejected,
-	minAcceptMultiple = 1.1 // and where every bucket fails
-	protectedRequests = 5   // in the window, that are never rejected
+	breakerBuckets    = 40  // in the window
+	maxAcceptMultiple = 1.5 // K: requests per accept up to which nothing is rejected
+	minAcceptMultiple = 1.1 // K if all buckets fail
+	protectedRequests = 5   // requests in the window that are never rejected
 	trialPause        = second
-	latencyActivation = 3    // times the baseline latency, from which slow endpoints are rejected,
-	ceilingRatio      = 0.95 // of the timeout, at which that is most likely,
-	maxLatencyChance  = 0.3  // with this probability
-	fallDivisor       = 4    // 1/weight of a latency under the baseline,
-	riseDivisor       = 100  // of one over it,
-	currentDivisor    = 4    // and of any in the current average
+	latencyActivation = 3    // multiple of the baseline latency above which requests are rejected for latency
+	ceilingRatio      = 0.95 // ratio of the timeout at which maxLatencyChance is reached
+	maxLatencyChance  = 0.3  // highest probability of a rejection for latency
+	fallDivisor       = 4    // 1/weight in the baseline of a latency below the baseline
+	riseDivisor       = 100  // 1/weight in the baseline of a latency above the baseline
+	currentDivisor    = 4    // 1/weight of any latency in the current average
 )
 
-// errorChance is the probability with which a request is rejected for failures in the window: max(0,
-// (requests - protected - K*accepts) / (requests+1)), where K falls as buckets fail in a row.
+// errorChance returns the probability of rejecting a request because of failures in the window:
+// max(0, (requests - protected - K*accepts) / (requests+1)), where K falls as consecutive buckets fail.
 func (k *breaker) errorChance(now Micros) float64 {
 	k.slide(now)
 	if k.requests <= protectedRequests {
 		return 0
 	}
-	failing := 0 // buckets in a row, up to the newest, without an accept
+	failing := 0 // consecutive buckets without an accept, up to the newest
 	for i := k.newest + 1; i <= k.newest+breakerBuckets; i++ {
 		counts := &k.buckets[i%breakerBuckets]
 		if counts.accepts > 0 {
@@ -39,7 +39,7 @@
 	return max(0, (total-protectedRequests-multiple*float64(k.accepts))/(total+1))
 }
 
-// latencyChance is the probability with which a request is rejected for slow answers, given its timeout in
+// latencyChance returns the probability of rejecting a request because answers are slow, given its timeout in
 // µs.
 func (k *breaker) latencyChance(timeout float64) float64 {
 	threshold := latencyActivation * k.baseline
@@ -51,8 +51,8 @@
 	return min(maxLatencyChance, max(0, chance))
 }
 
-// breakerAllows draws whether the breaker lets a request through; one that it stops counts as a request. One
-// trial is let through every trialPause.
+// breakerAllows decides at random whether the breaker admits a request. A rejected request counts as one
+// without accept. Once every trialPause a request is admitted as a trial.
 func (b *Balancer) breakerAllows(now Micros, r *request, e *endpoint) bool {
 	timeout := float64(b.classOf(r).ClientTimeout)
 	chance := max(e.breaker.errorChance(now), e.breaker.latencyChance(timeout))
--- a/balancer/breaker_window.go
+++ b/balancer/breaker_window.go
@@ -1,19 +1,19 @@
 package balancer
 
-// breaker holds an endpoint's window of outcomes, in buckets of time, and its two latency averages.
+// breaker holds the outcomes of an endpoint in a sliding window of time buckets, and two latency averages.
 type breaker struct {
 	buckets  [breakerBuckets]bucket
-	newest   int64   // number of the newest bucket since the origin of time
+	newest   int64   // number of the newest bucket, counted from the origin of time
 	requests int     // over the window
 	accepts  int     // over the window
 	baseline float64 // µs: falls fast and rises slowly
 	current  float64 // µs
-	trialAt  Micros  // latest request let through whatever the chance
+	trialAt  Micros  // when the latest trial was admitted
 }
 
 type bucket struct{ requests, accepts, failures int }
 
-// slide drops the buckets that have left the window, and returns the newest.
+// slide drops the buckets that have left the window and returns the newest one.
 func (k *breaker) slide(now Micros) *bucket {
 	newest := now / (breakerWindow / breakerBuckets)
 	if newest-k.newest >= breakerBuckets {
@@ -34,7 +34,7 @@
 	return &k.buckets[newest%breakerBuckets]
 }
 
-// recordLatency updates the two averages, as go-zero's breaker does.
+// recordLatency updates the two averages in the same way as go-zero's breaker.
 func (k *breaker) recordLatency(latency float64) {
 	if k.baseline <= 0 {
 		k.baseline = latency
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -1,14 +1,14 @@
 package balancer
 
 const (
-	randomDraws = 8 // random draws before endpoints are searched in order
-	// maxCandidates bounds the endpoints that one decision looks at, whatever their number: those with a fresh
-	// report, and of each kind those that a search passes. Fleets up to it are searched completely.
+	randomDraws = 8 // random draws before the endpoints are searched in order
+	// maxCandidates bounds the number of endpoints that one decision examines, both of those with a fresh
+	// report and of each part of a group in a search. Fleets of at most this size are searched completely.
 	maxCandidates = 200
 )
 
-// candidateGroup returns the smallest group that has all endpoints that r may be sent to, nil if there are
-// none.
+// candidateGroup returns the smallest group that contains all endpoints that r may be sent to, or nil if
+// there are none.
 func (b *Balancer) candidateGroup(r *request) *endpointGroup {
 	set := &b.endpoints
 	if first := r.firstMayHaveRun(); first != nil {
@@ -28,8 +28,8 @@
 }
 
 // drawRandom returns a random endpoint that r may be sent to, in this zone or within maxRoundTrip, or nil.
-// Where random draws find none, it searches for any, warm ones first. Ejected endpoints serve only when
-// nothing else is left.
+// If random draws find none, it searches for any, warm endpoints first. Ejected endpoints are used only if no
+// other is available.
 func (b *Balancer) drawRandom(now Micros, r *request, exclude *endpoint, maxRoundTrip float64) *endpoint {
 	group := b.candidateGroup(r)
 	if group == nil || group.len() == 0 || !b.mayAttempt(now, r) {
@@ -59,9 +59,9 @@
 	return fallback
 }
 
-// search returns the first endpoint of a group that is eligible, of the warm ones from a random place on and
-// then of those in slow start. If it finds ejected ones only, it returns one of those as the second result.
-// Of each part it looks at maxCandidates.
+// search returns the first eligible endpoint of a group. It starts at a random index of the warm endpoints
+// and continues with those in slow start, examining at most maxCandidates of each. If it finds only ejected
+// endpoints, it returns one of them as the second result.
 func (b *Balancer) search(now Micros, group *endpointGroup, eligible func(*endpoint) bool) (
 	found, ejected *endpoint) {
 	for _, members := range [...][]*endpoint{group.warm, group.slowStart} {
@@ -80,7 +80,8 @@
 	return nil, ejected
 }
 
-// acceptDraw leaves out remote zones, and accepts endpoints in proportion to their weight.
+// acceptDraw rejects endpoints in zones that are too far away, and accepts others in proportion to their
+// weight.
 func (b *Balancer) acceptDraw(e *endpoint, maxRoundTrip float64) bool {
 	remote := int(e.Zone) != b.settings.Zone
 	if remote && (maxRoundTrip == 0 || b.estimates.roundTrip[e.Zone].value > maxRoundTrip) {
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -4,17 +4,17 @@
 
 const (
 	failureWeight          = 0.5  // of the latest outcome in the ratio: healthy endpoints hardly ever fail
-	transportFailureWeight = 0.25 // of a failure on the network path: healthy endpoints lose connections, too
+	transportFailureWeight = 0.25 // of a network failure: healthy endpoints lose connections too
 	ejectionThreshold      = 0.4  // failure ratio from which an endpoint is ejected
 	failureHalfLife        = 3 * second
-	minFailureRatio        = 0.01 // below which failures are forgotten
+	minFailureRatio        = 0.01 // lower ratios count as 0
 )
 
-// recordFailure counts a failed attempt against its endpoint, unless it was given up, or the client had left
-// it little time.
+// recordFailure counts a failed attempt against its endpoint, unless the attempt was no longer waited for or
+// timed out early because the client left it little time.
 func (b *Balancer) recordFailure(now Micros, a *attempt, status Status, latency Micros) {
-	hasty := status == Timeout && float64(latency) < overdueMultiple*a.expectedLatency
-	if a.overdue || hasty {
+	timedOutEarly := status == Timeout && float64(latency) < overdueMultiple*a.expectedLatency
+	if a.overdue || timedOutEarly {
 		return
 	}
 	weight := failureWeight
@@ -30,12 +30,13 @@
 	}
 }
 
-// failureRatio is the recent ratio of failures at e. It decays, so that an ejected endpoint is tried again.
+// failureRatio returns the recent ratio of failures at e. It decays, so that an ejected endpoint is tried
+// again.
 func (e *endpoint) failureRatio(now Micros) float64 {
 	age := float64(now-e.failures.updatedAt) / float64(failureHalfLife)
 	ratio := e.failures.ratio * math.Exp2(-age)
 	return ratio * indicator(ratio > minFailureRatio)
 }
 
-// ejected reports whether e fails so often that it serves only when nothing else is left.
+// ejected reports whether e fails so often that it is used only if no other endpoint is available.
 func (e *endpoint) ejected(now Micros) bool { return e.failureRatio(now) >= ejectionThreshold }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,25 +1,25 @@
 package balancer
 
-// endpoint is what is known of an endpoint.
+// endpoint holds the listed properties of an endpoint and its statistics.
 type endpoint struct {
 	Endpoint
-	listedAt    int          // version of the endpoint set that named it last
-	listIndex   int          // in endpointSet.list
-	memberships []membership // of groups, while it is ready
-	slowStart   slowStart
+	listedVersion int          // version of the endpoint set in which it was last listed
+	listIndex     int          // in endpointSet.list
+	memberships   []membership // in groups; empty unless the endpoint is ready
+	slowStart     slowStart
 
 	inFlight           int    // local attempts without outcome
-	lastSentAt         Micros // of the latest local attempt
-	lastAnsweredSentAt Micros // when the latest attempt that was answered had been sent
-	lastResponseAt     Micros // of any kind, also to a probe
+	lastSentAt         Micros // when the latest local attempt was sent
+	lastAnsweredSentAt Micros // when the latest of the answered attempts had been sent
+	lastResponseAt     Micros // time of the latest response to an attempt or a probe
 
 	probePending     bool
 	probedAt         Micros
 	pooled           bool    // in the probe pool
-	hasLoad          bool    // it has reported its load
-	reportedAt       Micros  // when it did last; 0 if a probe has failed since
-	otherInFlight    float64 // requests of other balancers in flight, by that report
-	inFlightAtReport int     // inFlight at that report
+	hasLoad          bool    // has reported its load
+	reportedAt       Micros  // time of the latest load report; 0 if a probe has failed since
+	otherInFlight    float64 // requests of other balancers in flight, according to that report
+	inFlightAtReport int     // inFlight at the time of that report
 
 	slowness   ewma // µs taken per µs of work and load factor
 	slownessAt Micros
@@ -27,7 +27,7 @@
 	breaker    breaker
 }
 
-// capacityRatio is the least ratio of its capacity that e has by now.
+// capacityRatio returns the ratio of its full capacity that e has at least by now.
 func (e *endpoint) capacityRatio(now Micros, b *Balancer) float64 {
 	if !e.inSlowStart(now, b) {
 		return 1
@@ -36,12 +36,11 @@
 	return from + (1-from)*float64(now-e.slowStart.since)/float64(b.settings.Contract.SlowStartTime)
 }
 
-// inSlowStart reports whether e is in slow start.
 func (e *endpoint) inSlowStart(now Micros, b *Balancer) bool {
 	return e.slowStart.active && now-e.slowStart.since < b.settings.Contract.SlowStartTime
 }
 
-// identity is the same for e at every balancer.
+// identity returns a hash that identifies e at every balancer.
 func (e *endpoint) identity() uint64 {
 	id := e.StableID
 	if id == 0 {
@@ -60,26 +59,26 @@
 	refilledAt Micros
 }
 
-// refill adds what was earned since the last time, up to burst.
+// refill adds the tokens earned since the last refill, up to burst.
 func (s *slowStart) refill(now Micros, rate, burst float64) {
 	earned := rate * float64(now-s.refilledAt) / float64(second)
 	s.tokens = min(burst, s.tokens+earned)
 	s.refilledAt = now
 }
 
-// failureAverage is the ratio of failures at an endpoint when it was updated; see failureRatio.
+// failureAverage is the ratio of failures at an endpoint as of its last update; failureRatio applies the decay.
 type failureAverage struct {
 	ratio     float64
 	updatedAt Micros
 }
 
-// recordSuccess counts an answered attempt for e.
+// recordSuccess lowers the failure ratio of e after an answered attempt.
 func (e *endpoint) recordSuccess(now Micros) {
 	e.failures.ratio = (1 - failureWeight) * e.failureRatio(now)
 	e.failures.updatedAt = now
 }
 
-// recentlyUsed is a ring of the endpoints that requests were sent to last.
+// recentlyUsed is a ring buffer of the endpoints that requests were last sent to.
 type recentlyUsed struct {
 	ring  [maxRecent]*endpoint
 	count int // sends so far
@@ -90,5 +89,5 @@
 	u.count++
 }
 
-// len returns how many endpoints the ring holds.
+// len returns the number of endpoints in the ring.
 func (u *recentlyUsed) len() int { return min(maxRecent, u.count) }
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -2,23 +2,23 @@
 
 import "container/heap"
 
-// endpointSet holds the endpoints that discovery has listed, and groups of those that are ready. What a change of
-// one endpoint costs does not depend on how many there are.
+// endpointSet holds the endpoints that discovery has listed, and groups of those that are ready. The cost of changing
+// one endpoint does not depend on their number.
 type endpointSet struct {
 	byID       map[uint32]*endpoint
-	list       []*endpoint // in no order
-	version    int         // membership events so far
+	list       []*endpoint // unordered
+	version    int         // number of membership events so far
 	discovered bool        // discovery has answered since the start
-	maxWeight  float64     // of any endpoint so far
+	maxWeight  float64     // highest weight of any endpoint so far
 
 	ready        endpointGroup // all that are ready
 	groups       map[groupKey]*endpointGroup
 	slowStartEnd slowStartQueue
-	ownerGroups  bool // groupOwnersInFleet and groupOwnersInZone are kept
+	ownerGroups  bool // groupOwnersInFleet and groupOwnersInZone are maintained
 	zone         int  // of this balancer
 }
 
-// newEndpointSet returns an empty set. With ownerGroups it keeps the groups that owners of keys are chosen from.
+// newEndpointSet returns an empty set. With ownerGroups it maintains the groups from which key owners are chosen.
 func newEndpointSet(zone int, ownerGroups bool) endpointSet {
 	return endpointSet{
 		byID:        map[uint32]*endpoint{},
@@ -28,7 +28,7 @@
 	}
 }
 
-// groupKind says by what the endpoints of a group are alike.
+// groupKind is the property that the endpoints of a group share.
 type groupKind uint8
 
 const (
@@ -39,32 +39,32 @@
 	groupOwnersInZone                   // by ownerBucket, in this balancer's zone only
 )
 
-// groupKey names a group of the ready endpoints.
+// groupKey identifies a group of ready endpoints.
 type groupKey struct {
 	kind groupKind
 	id   uint16
 }
 
-// endpointGroup is a group of ready endpoints, with the sums that are kept of it.
+// endpointGroup is a group of ready endpoints and the sum of their weights.
 type endpointGroup struct {
 	warm      []*endpoint
 	slowStart []*endpoint
-	weight    int64 // of all, in weightUnits
+	weight    int64 // sum over all members, in weightUnits
 }
 
-// membership is an endpoint's place in a group.
+// membership is the position of an endpoint in a group.
 type membership struct {
 	group *endpointGroup
 	index int
 }
 
-// weightUnit is the unit of endpointGroup.weight: integers sum up the same in every order.
+// weightUnit is the unit of endpointGroup.weight. Sums of integers do not depend on the order of additions.
 const (
 	weightUnit     = 1.0 / (1 << 20)
 	maxWeightUnits = 1 << 40
 )
 
-// weightUnits returns e's weight in whole units, 0 if it makes no sense.
+// weightUnits returns e's weight in whole units, or 0 if the weight is not a positive number.
 func (e *endpoint) weightUnits() int64 {
 	weight := float64(e.Weight) / weightUnit
 	if !(weight > 0) { // also true of NaN
@@ -75,7 +75,7 @@
 
 func (g *endpointGroup) len() int { return len(g.warm) + len(g.slowStart) }
 
-// at returns a member by its index, of the warm ones first.
+// at returns the member at an index, counting warm members before those in slow start.
 func (g *endpointGroup) at(i int) *endpoint {
 	if i < len(g.warm) {
 		return g.warm[i]
@@ -83,7 +83,7 @@
 	return g.slowStart[i-len(g.warm)]
 }
 
-// part returns the members that are in slow start, or those that are not.
+// part returns the members that are in slow start, or the warm ones.
 func (g *endpointGroup) part(slowStart bool) *[]*endpoint {
 	if slowStart {
 		return &g.slowStart
@@ -91,7 +91,7 @@
 	return &g.warm
 }
 
-// add adds e, and notes its place.
+// add adds e and records its position.
 func (g *endpointGroup) add(e *endpoint) {
 	members := g.part(e.slowStart.active)
 	e.memberships = append(e.memberships, membership{group: g, index: len(*members)})
@@ -99,7 +99,7 @@
 	g.weight += e.weightUnits()
 }
 
-// remove removes e from its place; the last member takes that.
+// remove removes e, which is at index, and moves the last member to that index.
 func (g *endpointGroup) remove(e *endpoint, index int) {
 	members := g.part(e.slowStart.active)
 	last := len(*members) - 1
@@ -115,7 +115,7 @@
 	g.weight -= e.weightUnits()
 }
 
-// group returns the group of a key, which may be empty.
+// group returns the group of a key and creates it if necessary.
 func (s *endpointSet) group(key groupKey) *endpointGroup {
 	g := s.groups[key]
 	if g == nil {
@@ -125,7 +125,7 @@
 	return g
 }
 
-// enterGroups enters e into its groups if it is ready. Whatever they depend on must not change until exitGroups.
+// enterGroups adds e to its groups if it is ready. The fields that determine them must not change until exitGroups.
 func (s *endpointSet) enterGroups(e *endpoint) {
 	if e.State != Ready {
 		return
@@ -155,7 +155,7 @@
 	e.memberships = e.memberships[:0]
 }
 
-// add enters a new endpoint.
+// add adds an endpoint with this ID.
 func (s *endpointSet) add(id uint32) *endpoint {
 	e := &endpoint{listIndex: len(s.list)}
 	s.byID[id] = e
@@ -163,7 +163,7 @@
 	return e
 }
 
-// dropUnused forgets e if it is removed with nothing in flight.
+// dropUnused deletes e if it is removed and has nothing in flight.
 func (s *endpointSet) dropUnused(e *endpoint) {
 	if e.State != Removed || e.inFlight != 0 || s.byID[e.ID] != e {
 		return
@@ -178,19 +178,19 @@
 	s.list = s.list[:last]
 }
 
-// beginSlowStart has e, which has not joined yet, in slow start until the given instant.
+// beginSlowStart marks e, which must not be in any group yet, as in slow start until the given instant.
 func (s *endpointSet) beginSlowStart(e *endpoint, until Micros) {
 	e.slowStart.active = true
 	heap.Push(&s.slowStartEnd, slowStartEntry{endpoint: e, since: e.slowStart.since, until: until})
 }
 
-// advance ends the slow start of endpoints whose time is over.
+// advance moves endpoints whose slow start has ended to the warm members of their groups.
 func (s *endpointSet) advance(now Micros) {
 	for len(s.slowStartEnd) > 0 && s.slowStartEnd[0].until <= now {
 		ended := heap.Pop(&s.slowStartEnd).(slowStartEntry)
 		e := ended.endpoint
 		if !e.slowStart.active || e.slowStart.since != ended.since {
-			continue // it has restarted
+			continue // the endpoint has restarted since
 		}
 		if isMember := len(e.memberships) > 0; isMember {
 			s.exitGroups(e)
@@ -201,7 +201,7 @@
 	}
 }
 
-// slowStartQueue has the ends of slow starts, the first one on top of the heap.
+// slowStartQueue is a heap of the ends of slow starts, earliest first.
 type slowStartQueue []slowStartEntry
 
 // slowStartEntry is the end of a slow start that began at since.
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -2,40 +2,40 @@
 
 import "math"
 
-// classStats is what is known of a class.
+// classStats holds the statistics of a class.
 type classStats struct {
 	work         ewma   // mean work of a request, in µs
-	arrivals     meter  // requests taken
+	arrivals     meter  // requests received
 	onTime       ewma   // ratio of requests answered within the latency objective
 	hedgeLatency ewma   // latency at HedgeQuantile, in µs; 0 without one
-	trialAt      Micros // latest request sent over its latency limit
-	sinceTrial   int    // requests over their limit since then
+	trialAt      Micros // when a request over its latency limit was last sent as a trial
+	sinceTrial   int    // requests over their latency limit since then
 }
 
-// traffic measures what was asked of this balancer, and what became of it.
+// traffic measures the demand on this balancer and the outcomes of its requests.
 type traffic struct {
-	demand        meter // requests taken
+	demand        meter // requests received
 	sentWork      meter // work sent, in µs
 	rejected      ewma  // ratio of requests rejected at arrival
-	dropped       ewma  // ratio of attempts that were never answered though later ones were
-	trialInterval int   // requests over their latency limit for one that is sent all the same
+	dropped       ewma  // ratio of attempts that were lost
+	trialInterval int   // one in this many requests over their latency limit is sent as a trial
 }
 
-// estimates are what is expected of endpoints of which little is known.
+// estimates are the defaults for endpoints with few or no samples, and the exponent for work hints.
 type estimates struct {
 	roundTrip     [256]ewma // shortest probe latency in µs, by zone
 	kindSlowness  [256]mean // slowness of endpoints, by kind of machine
-	fleetSlowness mean      // and of all
+	fleetSlowness mean      // slowness of all endpoints
 	baselineLoad  ewma      // requests of other balancers in flight at an endpoint
-	hintExponent  float64   // work grows with this power of a work hint
+	hintExponent  float64   // work is taken to grow with this power of a work hint
 }
 
-// latencyTrend is the ratio of latencies to those predicted, for all endpoints together.
+// latencyTrend tracks the ratio of observed to predicted latencies over all endpoints.
 type latencyTrend struct{ ratio float64 }
 
 // initialize sets averages and balances to their initial values.
 func (b *Balancer) initialize() {
-	// These ratios start at 0 and not at their first sample.
+	// These ratios start at 0 instead of at their first sample.
 	b.reports.lateRatio.seen = true
 	b.traffic.rejected.seen = true
 	b.traffic.dropped.seen = true
@@ -48,7 +48,7 @@
 	b.probes.newAllowance = maxNewProbes
 }
 
-// estimateWork sets what r is expected to cost, from its hint or else the mean of its class.
+// estimateWork estimates the work of r from its hint, or else from the mean of its class.
 func (b *Balancer) estimateWork(now Micros, r *request) {
 	class := &b.classes[r.Class]
 	class.arrivals.add(now, 1)
@@ -61,25 +61,25 @@
 	}
 }
 
-// Weights are those of the latest sample in an exponentially weighted moving average.
+// Constants named Weight are the weight of the latest sample in an exponentially weighted moving average.
 const (
 	hintExponentWeight     = 0.005
 	fleetWeight            = 0.02
 	workWeight             = 0.01
 	slownessWeight         = 0.03
-	staleSlownessWeight    = 0.15 // for an endpoint not heard of for slownessLifetime
+	staleSlownessWeight    = 0.15 // for an endpoint without a sample for slownessLifetime
 	slownessLifetime       = 10 * second
 	baselineProbeWeight    = 0.1              // of a probe response in the baseline load
-	baselineResponseWeight = 0.025            // of an answer: there are more, and each says less, as work varies
-	maxBaselineSample      = 3 * assumedCores // beyond it is the tail of the work
+	baselineResponseWeight = 0.025            // of an answer; low, as answers are frequent and their work varies
+	maxBaselineSample      = 3 * assumedCores // higher samples come from the tail of the work distribution
 	trendWeight            = 0.1
-	maxTrendSample         = 4.0 // one outcome counts as at most this multiple of the prediction
-	trendNoiseRatio        = 1.5 // up to which the trend is chance
+	maxTrendSample         = 4.0 // a single outcome counts as at most this multiple of the prediction
+	trendNoiseRatio        = 1.5 // a trend up to this ratio may be random
 	maxTrend               = 8.0
 )
 
 // learnHedgeLatency moves the estimate of the class's latency quantile by stochastic approximation (Robbins
-// and Monro, 1951): up by HedgeQuantile of a step after a slower answer, down by the rest after another.
+// and Monro, 1951): up by HedgeQuantile of a step after a slower answer, otherwise down by 1-HedgeQuantile of a step.
 func (b *Balancer) learnHedgeLatency(r *request, latency float64) {
 	class, estimate := b.classOf(r), &b.classes[r.Class].hedgeLatency
 	if class.HedgeQuantile <= 0 {
@@ -89,7 +89,7 @@
 	estimate.value += step * (class.HedgeQuantile - indicator(latency <= estimate.value))
 }
 
-// learnSlowness adds a sample to e's slowness, which is kept as it is once slow start is over.
+// learnSlowness adds a sample to e's slowness, which is stored normalized to full capacity.
 func (e *endpoint) learnSlowness(now Micros, b *Balancer, slowness, capacity float64) {
 	e.slowness = ewma{value: e.currentSlowness(now, b) * capacity, seen: true}
 	age := min(1, float64(now-e.slownessAt)/float64(slownessLifetime))
@@ -97,10 +97,10 @@
 	e.slownessAt = now
 }
 
-// learnBaselineLoad infers from an answer what other balancers have in flight at an endpoint: how much longer
-// it took than its kind takes alone shows that sooner than the few probes do. Probes must have set the
-// baseline first, since by answers alone a busy fleet and slow machines look alike. A sample under the
-// baseline must weigh as much as one over it, so samples have no lower limit.
+// learnBaselineLoad infers from an answer the number of requests that other balancers have in flight at an endpoint:
+// the ratio of the latency to that of an idle endpoint of the same kind shows a change of load sooner than the few
+// probes do. Probes must have set the baseline first, since answers alone do not distinguish a busy fleet from slow
+// machines. Samples have no lower limit, since one below the baseline must weigh as much as one above it.
 func (b *Balancer) learnBaselineLoad(a *attempt, slowness, capacity float64) {
 	baseline := &b.estimates.baselineLoad
 	alone := b.estimates.kindSlowness[a.endpoint.Kind].value / capacity
@@ -113,12 +113,13 @@
 	baseline.value = max(0, baseline.value)
 }
 
-// update shifts what is expected of every endpoint by one outcome, as a ratio of the latency predicted: when
-// the whole fleet slows down or recovers, endpoints with little of our traffic would be learned far too late.
+// update shifts the predictions for all endpoints by one outcome, given as the ratio of observed to predicted
+// latency. When the whole fleet slows down or recovers, endpoints that receive little of this balancer's traffic
+// would otherwise be updated far too late.
 func (t *latencyTrend) update(ratio float64) {
 	factor := 1 + trendWeight*(min(ratio, maxTrendSample)-1)
 	t.ratio = min(maxTrend, max(1/maxTrend, t.ratio*factor))
 }
 
-// slowdown is the trend beyond what chance makes of it, 1 or more.
+// slowdown returns the trend beyond the range of random variation, at least 1.
 func (t *latencyTrend) slowdown() float64 { return max(1, t.ratio/trendNoiseRatio) }
--- a/balancer/eventlog.go
+++ b/balancer/eventlog.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// event is what a log line reports: its message, and the reason where there are several.
+// event identifies a kind of log line: its message, and the reason if the message has several.
 type event struct{ message, reason string }
 
-// Reasons for which a request has its final answer from the balancer.
+// Reasons for which the balancer itself gives a request its final answer.
 const (
-	reasonExpired     = "its time is over"
-	reasonTooManyOpen = "too many requests are open"
-	reasonNoEndpoint  = "no endpoint may be used"
-	reasonBreaker     = "breakers of two endpoints"
+	reasonExpired     = "deadline exceeded"
+	reasonTooManyOpen = "too many open requests"
+	reasonNoEndpoint  = "no endpoint available"
+	reasonBreaker     = "rejected by circuit breaker"
 	reasonPredicted   = "predicted latency too high"
-	reasonHostEnds    = "its host ends it"
+	reasonEndedByHost = "ended by host"
 )
 
-// eventCount counts the events of a kind since the last line on them.
+// eventCount counts the events of one kind since the last line logged for them.
 type eventCount struct {
 	loggedAt Micros
 	count    int
 }
 
-// countForLog counts an event. Each kind is logged at most once a second, as rejections come in thousands: where a
-// line is due it returns how many events that stands for, and else 0.
+// countForLog counts an event. Since there may be thousands of rejections a second, each kind of event is logged at
+// most once a second: countForLog returns the number of events that a line stands for, or 0 if none is to be logged.
 func (b *Balancer) countForLog(now Micros, kind event) int {
 	counted, known := b.logged[kind]
 	counted.count++
@@ -34,21 +34,21 @@
 	return counted.count
 }
 
-// log logs an event for on-call staff, or leaves it out where countForLog does.
+// log logs an event for on-call staff, at most once a second for each message.
 func (b *Balancer) log(now Micros, message string, attributes ...any) {
 	if count := b.countForLog(now, event{message: message}); count > 0 {
 		b.actions.Log(message, append(attributes, "count", count)...)
 	}
 }
 
-// logAnswer logs a final answer of the balancer's own.
-func (b *Balancer) logAnswer(now Micros, message string, r *request) {
+// logFinalAnswer logs a final answer that the balancer itself gives.
+func (b *Balancer) logFinalAnswer(now Micros, message string, r *request) {
 	if count := b.countForLog(now, event{message, r.reason}); count > 0 {
 		b.actions.Log(message, "request", r.ID, "reason", r.reason, "attempts", len(r.attempts), "count", count)
 	}
 }
 
-// logRetry logs that r goes to another endpoint after an attempt that ended with this status.
+// logRetry logs a retry of r after an attempt at the endpoint failed ended with this status.
 func (b *Balancer) logRetry(now Micros, r *request, failed *endpoint, status Status) {
 	if count := b.countForLog(now, event{"request retried", status.String()}); count > 0 {
 		b.actions.Log("request retried", "request", r.ID, "endpoint", failed.ID, "status", status.String(),
@@ -56,7 +56,6 @@
 	}
 }
 
-// statusNames are the names of statuses in the log.
 var statusNames = [...]string{
 	OK:            "ok",
 	Error:         "error",
@@ -68,7 +67,7 @@
 	NotSent:       "not sent",
 }
 
-// String returns the name of a status.
+// String returns the name of a status as used in the log.
 func (s Status) String() string {
 	if int(s) < len(statusNames) {
 		return statusNames[s]
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -62,6 +62,6 @@
 	// endpoint ejected endpoint 8 failure_ratio 0.5 count 1
 	// send request 1 to endpoint 7
 	// request retried request 1 endpoint 8 status error count 1
-	// request rejected request 2 reason no endpoint may be used attempts 0 count 1
+	// request rejected request 2 reason no endpoint available attempts 0 count 1
 	// reject request 2
 }
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -1,16 +1,16 @@
 package balancer
 
 const (
-	hedgeEarnRatio    = 0.2  // hedges that each request earns
-	hedgeQuantileStep = 0.02 // of the latency objective: the longest step of the quantile estimate
-	droppedWeight     = 0.02 // of the latest outcome in the ratio of dropped attempts
-	minDroppedRatio   = 0.01 // from which overdue attempts are hedged
-	overdueMultiple   = 2.5  // an attempt is overdue after this multiple of its expected latency,
-	minOverdueRatio   = 0.25 // but not before this ratio of the latency objective
+	hedgeEarnRatio    = 0.2  // hedges that each request adds to the hedge budget
+	hedgeQuantileStep = 0.02 // largest step of the quantile estimate, as a ratio of the latency objective
+	droppedWeight     = 0.02 // weight of the latest outcome in the ratio of dropped attempts
+	minDroppedRatio   = 0.01 // ratio of dropped attempts from which overdue attempts are hedged
+	overdueMultiple   = 2.5  // multiple of its expected latency after which an attempt is overdue
+	minOverdueRatio   = 0.25 // earliest time at which an attempt is overdue, as a ratio of the latency objective
 )
 
-// hedgeDelay is how long the first attempt is pending before it is hedged without proof that it was
-// dropped; 0 for never. The quantile of the class stands in for a delay that the request does not give.
+// hedgeDelay returns how long the first attempt may be pending before it is hedged even if nothing shows that
+// it was dropped; 0 for never. If the request sets no delay, the latency quantile of its class is used.
 func (b *Balancer) hedgeDelay(r *request) Micros {
 	if r.HedgeDelay > 0 {
 		return r.HedgeDelay
@@ -21,7 +21,7 @@
 // hedgesDropped reports whether attempts are dropped often enough to hedge the overdue ones.
 func (b *Balancer) hedgesDropped() bool { return b.traffic.dropped.value >= minDroppedRatio }
 
-// hedge sends a hedged request, if the limits, the class and the hedge budget permit.
+// hedge sends a hedged attempt if the limits, the request, its class and the hedge budget permit it.
 func (b *Balancer) hedge(now Micros, r *request) {
 	permitted := b.settings.Limits.Hedging && !r.NoHedging
 	if permitted && b.budgets.hedge >= 1 && b.trySend(now, r, false) {
@@ -36,7 +36,7 @@
 	case now >= r.Deadline:
 		b.handleDeadline(now, r)
 	case r.waitingForProbes:
-		// Only idle endpoints answer in time: to count them alone would hide an overload.
+		// Only idle endpoints respond in time, so counting only responses would hide an overload.
 		for _, e := range r.awaitedProbes {
 			b.addBaselineLoad(assumedCores + b.queuedAhead(float64(now-e.probedAt)))
 		}
@@ -46,7 +46,7 @@
 	}
 }
 
-// handleDeadline ends a request whose time is over. Its pending attempts took at least until now.
+// handleDeadline ends a request at its deadline. Its pending attempts took at least until now.
 func (b *Balancer) handleDeadline(now Micros, r *request) {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.pending {
@@ -57,7 +57,7 @@
 	b.reject(now, r)
 }
 
-// handlePendingAttempt hedges the latest attempt once the hedge delay has passed, or it is overdue.
+// handlePendingAttempt hedges the latest attempt if the hedge delay has passed or the attempt is overdue.
 func (b *Balancer) handlePendingAttempt(now Micros, r *request) {
 	a := &r.attempts[len(r.attempts)-1]
 	if !a.pending || a.overdue {
@@ -74,10 +74,11 @@
 	}
 }
 
-// handleOverdue handles an attempt that takes far longer than expected. Where all requests queue it must be
-// waited for: hedges double the work of endpoints that have too much. But if a later attempt was answered
-// before it, or the endpoint has sent nothing since, not even a probe response, it was dropped: endpoints
-// and network paths may drop some requests and answer the rest in time. Then a hedge goes elsewhere.
+// handleOverdue handles an attempt that takes far longer than expected. If all requests are queueing, it must
+// be waited for, since hedges double the work of overloaded endpoints. But endpoints and network paths may
+// drop some requests and answer the others in time: the attempt is taken as dropped, and hedged elsewhere, if
+// a later attempt was answered before it, or if the endpoint has sent nothing since, not even a response to a
+// probe.
 func (b *Balancer) handleOverdue(now Micros, r *request, a *attempt) {
 	if !b.hedgesDropped() {
 		return
--- a/balancer/key_records.go
+++ b/balancer/key_records.go
@@ -1,20 +1,20 @@
 package balancer
 
-// affinity says what an endpoint is to a request's key: 0 for a request without key, else notOwner, zoneOwner
-// or fleetOwner plus an age bucket. The last bucket stands for a key that was not sent there for long.
+// affinity classifies an endpoint for a request's key: 0 for a request without key, otherwise notOwner, zoneOwner or
+// fleetOwner plus an age bucket. The last bucket covers a key not sent there for long, or never.
 type affinity uint8
 
 const (
-	maxKeys     = 4096       // of one generation: three times as many as any known deployment has
-	sendsPerKey = 4          // endpoints remembered for a key
+	maxKeys     = 4096       // in one generation; three times as many as any known deployment has
+	sendsPerKey = 4          // endpoints recorded for a key
 	minKeyAge   = second / 2 // upper limit of the first age bucket
 
-	ageBuckets    = 7 // each twice as long as the one before
+	ageBuckets    = 7 // each covers twice the age of the one before
 	notOwner      = affinity(1)
 	zoneOwner     = notOwner + ageBuckets
 	fleetOwner    = zoneOwner + ageBuckets
 	affinityCount = fleetOwner + ageBuckets
-	notCached     = notOwner + ageBuckets - 1 // neither an owner nor sent there
+	notCached     = notOwner + ageBuckets - 1 // not an owner, and the key was not sent there recently
 )
 
 // Indexes of a key's owners.
@@ -24,9 +24,9 @@
 	ownersPerKey
 )
 
-// keyAffinity holds what is known of keys.
+// keyAffinity holds the records of keys and the learned work ratios.
 type keyAffinity struct {
-	current, previous map[uint64]*keyRecord // by key: those used in this generation and in the one before
+	current, previous map[uint64]*keyRecord // by key; used in this generation, and in the one before it
 	rotatedAt         Micros
 	workRatio         [affinityCount]float64
 }
@@ -42,8 +42,8 @@
 	}
 }
 
-// learn adds a sample of the work ratio. That of requests without key, or where nothing is cached, is the
-// reference and stays 1.
+// learn adds a sample of the work ratio for an affinity. The ratio for requests without key, and for endpoints that do
+// not have the key cached, is the reference and stays 1.
 func (k *keyAffinity) learn(a affinity, ratio float64) {
 	if a == 0 || a == notCached {
 		return
@@ -52,10 +52,10 @@
 	*estimate = min(1, max(minWorkRatio, *estimate+workRatioWeight*(ratio-*estimate)))
 }
 
-// keyRecord is where a key was sent to lately.
+// keyRecord holds the owners of a key and the endpoints that it was recently sent to.
 type keyRecord struct {
 	owners  [ownersPerKey]*endpoint // nil where none is ready
-	version int                     // of the endpoint set that the owners were chosen from
+	version int                     // of the endpoint set from which the owners were chosen
 	sends   [sendsPerKey]keySend
 }
 
@@ -65,8 +65,8 @@
 	at       Micros
 }
 
-// keyRecord returns the record of r's key, nil if it has none or keys do not matter. Records that are not used
-// for a generation or two are dropped.
+// keyRecord returns the record of r's key, or nil if r has no key or key affinity is off. Records that are not used
+// for one to two generations are dropped.
 func (b *Balancer) keyRecord(now Micros, r *request) *keyRecord {
 	if !b.settings.KeyAffinity || r.Key == 0 {
 		return nil
@@ -92,7 +92,7 @@
 	return record
 }
 
-// recordSend notes that the key goes to e now, in place of the oldest send.
+// recordSend records that the key is sent to e now. If the record is full, this replaces the oldest send.
 func (k *keyRecord) recordSend(now Micros, e *endpoint) {
 	slot := 0
 	for i := range k.sends {
@@ -107,8 +107,8 @@
 	k.sends[slot] = keySend{endpoint: e, at: now}
 }
 
-// ageAt returns the age bucket of the last send of the key to e. A process that started since has nothing
-// cached.
+// ageAt returns the age bucket of the last send of the key to e. If the process has started since then, it has
+// nothing cached.
 func (k *keyRecord) ageAt(now Micros, e *endpoint) affinity {
 	age := affinity(ageBuckets - 1)
 	for i := range k.sends {
--- a/balancer/keys.go
+++ b/balancer/keys.go
@@ -2,22 +2,23 @@
 
 import "math"
 
-// An endpoint that has lately served a key does less work for it, until its cache drops the key. How much
-// less differs between deployments and is learned: the ratio of the work that requests came to, to what it
-// would have been at an endpoint that does not have the key cached. It is learned by whether the endpoint is
-// an owner of the key, and by how long ago this balancer last sent its key there. All balancers agree on a
-// key's owners without communication, by weighted rendezvous hashing (Thaler and Ravishankar, 1998): what the
-// others send there keeps the key cached. A key has an owner in the fleet, and one in each zone for as long
-// as leaving the zone costs more than the fleet owner's cache saves.
+// An endpoint that has recently served a key does less work for it, until its cache drops the key. How much
+// less differs between deployments, so the ratio is learned: the work that requests took, relative to the
+// work at an endpoint that does not have the key cached. It is learned separately for owners of the key and
+// other endpoints, and by how long ago this balancer last sent the key there. All balancers agree on a key's
+// owners without communication, by weighted rendezvous hashing (Thaler and Ravishankar, 1998), so that the
+// requests of other balancers keep the key cached at its owners. A key has one owner in the fleet and one in
+// each zone, which is preferred while leaving the zone costs more than the cache of the fleet owner saves.
 
 const (
-	workRatioWeight = 0.003 // of the latest sample: work varies by more than its mean
-	minWorkRatio    = 0.2   // that a key is assumed to need
+	workRatioWeight = 0.003 // weight of the latest sample; low, as work varies by more than its mean
+	minWorkRatio    = 0.2   // lowest work ratio that is assumed
 )
 
-// Work ratios before anything is learned: at other endpoints by age, and at owners. They favour owners more
-// than a cache saves: only if all balancers send most requests to owners do endpoints see few enough keys
-// to keep them cached, which helps the fleet more than one request. Samples correct them if nothing is saved.
+// Work ratios before anything is learned, by age for endpoints that are not owners. They favour owners more
+// than a cache saves: endpoints see few enough keys to keep them cached only if all balancers send most
+// requests to owners, and that helps the fleet more than a single request. Samples correct the ratios if
+// nothing is saved.
 var workRatioPrior = [ageBuckets]float64{0.80, 0.85, 0.90, 0.95, 0.97, 1, 1}
 
 const (
@@ -25,17 +26,18 @@
 	fleetOwnerPrior = 0.25
 )
 
-// ownerBuckets is the number of buckets that endpoints are hashed to: a bucket is chosen first, by the
-// weight of all in it, and then an endpoint in it. So a key's owner costs few hashes in a large fleet, too.
+// ownerBuckets is the number of buckets that endpoints are hashed to. A bucket is chosen first, by the total
+// weight of its members, and then an endpoint in it, so that finding a key's owner takes few hashes in a
+// large fleet.
 const ownerBuckets = 128
 
-// ownerBucket is the bucket that e is in, at every balancer.
+// ownerBucket returns the bucket of e, which is the same at every balancer.
 func (e *endpoint) ownerBucket() uint16 {
 	hash := randomSource(e.identity())
 	return uint16(hash.float() * ownerBuckets)
 }
 
-// keyOwners returns a key's owners, nil where none is ready.
+// keyOwners returns the owners of a key; an owner is nil if no endpoint is ready.
 func (b *Balancer) keyOwners(key uint64) (owners [ownersPerKey]*endpoint) {
 	owners[inFleet] = b.endpoints.keyOwner(key, groupOwnersInFleet)
 	owners[inZone] = b.endpoints.keyOwner(key, groupOwnersInZone)
@@ -43,7 +45,7 @@
 }
 
 // keyOwner returns the owner of a key among the groups of one kind: the endpoint with the highest
-// rendezvousScore in the bucket with the highest one.
+// rendezvousScore in the bucket with the highest rendezvousScore.
 func (s *endpointSet) keyOwner(key uint64, kind groupKind) *endpoint {
 	var bucket *endpointGroup
 	var highest float64
@@ -71,13 +73,13 @@
 	return owner
 }
 
-// rendezvousScore is -weight/ln(hash), so that one of twice the weight owns twice the keys.
+// rendezvousScore is -weight/ln(hash), so that an endpoint of twice the weight owns twice as many keys.
 func rendezvousScore(key, identity uint64, weight float64) float64 {
 	hash := randomSource(key ^ identity)
 	return -weight / math.Log(hash.float())
 }
 
-// affinityOf returns what e is to r's key.
+// affinityOf returns the affinity of e for the key of r.
 func (b *Balancer) affinityOf(now Micros, r *request, e *endpoint) affinity {
 	key := r.key
 	if key == nil {
@@ -92,7 +94,7 @@
 	return notOwner + key.ageAt(now, e)
 }
 
-// expectedWork is the work that r is expected to be at e.
+// expectedWork returns the work of r expected at e, given what e has cached.
 func (b *Balancer) expectedWork(now Micros, r *request, e *endpoint) float64 {
 	return r.work * b.keys.workRatio[b.affinityOf(now, r, e)]
 }
--- a/balancer/learning.go
+++ b/balancer/learning.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// recordOutcome feeds the outcome of an attempt to the averages.
+// recordOutcome updates the breaker, the failure ratio and the averages with the outcome of an attempt.
 func (b *Balancer) recordOutcome(now Micros, r *request, a *attempt, status Status, latency Micros) {
 	e := a.endpoint
 	switch status {
@@ -22,11 +22,11 @@
 	}
 }
 
-// learnLatency learns from a latency in µs; with lowerBound set, the attempt took at least that.
+// learnLatency learns from a latency in µs. With lowerBound the attempt took at least that long.
 func (b *Balancer) learnLatency(now Micros, r *request, a *attempt, latency float64, lowerBound bool) {
 	e := a.endpoint
 	slowness := max(0, latency-b.estimates.roundTrip[e.Zone].value) / a.workFactor
-	// One that was overtaken may be dropped, and says nothing of how fast the endpoint or the fleet is.
+	// An overtaken attempt may have been dropped, so it does not show how fast the endpoint or the fleet is.
 	if lowerBound && (slowness <= e.currentSlowness(now, b) || e.lastAnsweredSentAt > a.sentAt) {
 		return
 	}
@@ -35,7 +35,7 @@
 		b.keys.learn(a.affinity, slowness*b.keys.workRatio[a.affinity]/e.currentSlowness(now, b))
 	}
 	if !lowerBound && r.logHint != 0 && slowness > 0 {
-		// Rough hints overstate the large and understate the small: learn how far they can be trusted.
+		// Imprecise hints overstate large requests and understate small ones, so their exponent is learned.
 		excess := math.Log(slowness / e.currentSlowness(now, b))
 		exponent := b.estimates.hintExponent + hintExponentWeight*r.logHint*excess
 		b.estimates.hintExponent = min(1, max(0, exponent))
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// ledger holds the requests that are not done with, and the timer slots that name them.
+// ledger holds the requests that are not complete, and the timer slots that refer to them.
 type ledger struct {
-	requests         map[uint64]*request // by ID: every request with an attempt pending or no final answer
+	requests         map[uint64]*request // by ID: every request with a pending attempt or without final answer
 	slots            []*request          // by timer slot
-	free             []*request          // records to use again
+	free             []*request          // records for reuse
 	open             int                 // requests without final answer
 	waitingForProbes []*request
 }
 
-// Timer tokens below firstRequestTimer belong to the balancer. Others name a request: the low bits hold its slot
-// plus firstRequestTimer, the high bits count uses of the slot, so that an old timer finds nothing.
+// Timer tokens below firstRequestTimer belong to the balancer. All others identify a request: the low bits hold its
+// slot plus firstRequestTimer, and the high bits count uses of the slot, so that outdated timers match no request.
 const (
 	probeTimer = iota
 	discoveryTimer
@@ -20,7 +20,7 @@
 	timerSlotBits     = 20
 )
 
-// newRecord returns an unused record with a timer token of its own.
+// newRecord returns an unused record with a unique timer token.
 func (l *ledger) newRecord() *request {
 	var r *request
 	if n := len(l.free); n > 0 {
@@ -34,7 +34,7 @@
 	return r
 }
 
-// byTimer returns the request that a timer token names, or nil if it is done with.
+// byTimer returns the request that a timer token refers to, or nil if the request is finished or streaming.
 func (l *ledger) byTimer(token uint32) *request {
 	slot := int(token&(1<<timerSlotBits-1)) - firstRequestTimer
 	if slot < 0 || slot >= len(l.slots) {
@@ -79,15 +79,15 @@
 	}
 }
 
-// Expire handles a request that its host must answer now, before its deadline.
+// Expire gives a request its final answer now, before its deadline, as when the host shuts down.
 func (b *Balancer) Expire(now Micros, id uint64) {
 	if r := b.ledger.requests[id]; r != nil {
-		r.reason = reasonHostEnds
+		r.reason = reasonEndedByHost
 		b.reject(now, r)
 	}
 }
 
-// ClientDisconnected handles a client that left before its final answer.
+// ClientDisconnected handles a client that disconnected before the final answer.
 func (b *Balancer) ClientDisconnected(now Micros, id uint64) {
 	if r := b.ledger.requests[id]; r != nil {
 		b.finish(r)
@@ -100,16 +100,16 @@
 	timerToken       uint32
 	arrivedAt        Micros
 	work             float64 // expected, in µs
-	logHint          float64 // logarithm of the ratio of its hint to the mean of its class; 0 without hint
-	priority         float64 // 0 to 1, when last decided on
+	logHint          float64 // logarithm of the ratio of its hint to the mean work of its class; 0 without hint
+	priority         float64 // 0 to 1, as of the latest decision
 	key              *keyRecord
-	previous         attempt // made before this request was taken; valid if MayHaveRun
+	previous         attempt // made before this request was received; valid if MayHaveRun
 	attempts         []attempt
 	pending          int     // attempts without outcome
-	finished         bool    // the final answer is out
-	streaming        bool    // an answer has begun: only its end is awaited
-	reason           string  // for which the balancer gave or would give its own answer
-	trial            bool    // sent although its predicted latency was over the limit
+	finished         bool    // the final answer was given
+	streaming        bool    // the answer has started, and only its end is awaited
+	reason           string  // why the balancer itself gave, or would give, the final answer
+	trial            bool    // sent although its predicted latency exceeded the limit
 	onTime           float64 // 1 once answered within the latency objective
 	waitingForProbes bool
 	awaitedProbes    []*endpoint
@@ -118,24 +118,24 @@
 // attempt is one send of a request.
 type attempt struct {
 	endpoint        *endpoint
-	zone            uint8 // of the endpoint when sent: it may move
+	zone            uint8 // zone of the endpoint at the time of sending; it may change later
 	cell            uint16
 	sentAt          Micros
 	expectedLatency float64 // in µs, predicted when sent
-	loadFactor      float64 // of the endpoint when sent
-	workFactor      float64 // work times load factor, when sent
-	inFlightBefore  int     // local requests at the endpoint when sent
+	loadFactor      float64 // of the endpoint at the time of sending
+	workFactor      float64 // work times load factor at the time of sending
+	inFlightBefore  int     // local requests at the endpoint before sending
 	affinity        affinity
-	overdueAt       Micros // when it is looked at for having been dropped
-	probedOverdue   bool   // that was once, and the endpoint was probed
-	overdue         bool   // it is no longer waited for, though its outcome may still come
-	plannedHedge    bool   // it is overdue by the hedge delay, not for having been dropped
+	overdueAt       Micros // when to check whether the attempt was dropped
+	probedOverdue   bool   // the endpoint was probed because the attempt is overdue
+	overdue         bool   // no longer waited for, though its outcome may still be reported
+	plannedHedge    bool   // overdue because the hedge delay has passed, not because it was dropped
 	pending         bool   // no outcome yet
-	transportFailed bool   // it failed on the network path, which says little of the endpoint
-	mayHaveRun      bool   // it may have had its effect, or may yet
+	transportFailed bool   // failed on the network path, which says little about the endpoint
+	mayHaveRun      bool   // may have had its effect, or may still have it
 }
 
-// newRequest enters a request into the ledger.
+// newRequest adds a request to the ledger.
 func (b *Balancer) newRequest(now Micros, in Request) *request {
 	r := b.ledger.newRecord()
 	r.Request = in
@@ -156,7 +156,7 @@
 	return r
 }
 
-// firstMayHaveRun returns the first attempt that may have run, or nil.
+// firstMayHaveRun returns the first attempt that may have run, or nil if there is none.
 func (r *request) firstMayHaveRun() *attempt {
 	if r.MayHaveRun {
 		return &r.previous
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// writeDeadline is when an attempt must have been written: a connection may take long to open, and endpoints that
-// drop repeats count from the first attempt that may have run.
+// writeDeadline returns the instant by which an attempt must be written. Opening a connection may take long, and
+// endpoints that drop repeats count the window from the first attempt that may have run.
 func (r *request) writeDeadline(c *Class) Micros {
 	if first := r.firstMayHaveRun(); first != nil && c.Idempotency == IdempotentWithKey {
 		return min(r.Deadline, first.sentAt+c.DedupWindow)
@@ -176,7 +176,7 @@
 	return r.Deadline
 }
 
-// hasPendingAttempt reports whether an attempt is to be waited for: any that is pending, or with hedging permitted
+// hasPendingAttempt reports whether an attempt is still waited for: any pending one, or, if hedging is permitted,
 // one that is not overdue.
 func (r *request) hasPendingAttempt(hedging bool) bool {
 	hedging = hedging && !r.NoHedging
@@ -187,7 +187,7 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
 
-// failedByEndpoint reports whether e itself has failed r, or may yet.
+// failedByEndpoint reports whether an attempt at e is pending or ended otherwise than by a network failure.
 func (r *request) failedByEndpoint(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e && !a.transportFailed })
 }
@@ -198,7 +198,7 @@
 // classOf returns the settings of a request's class.
 func (b *Balancer) classOf(r *request) *Class { return &b.settings.Classes[r.Class] }
 
-// closeAttempt records that an attempt is no longer in flight, and what its status proves.
+// closeAttempt records that an attempt is no longer in flight, and what its status shows.
 func (b *Balancer) closeAttempt(now Micros, r *request, a *attempt, status Status) {
 	e := a.endpoint
 	a.pending = false
@@ -215,11 +215,11 @@
 	}
 }
 
-// answered reports whether the endpoint itself has responded.
+// answered reports whether the endpoint itself responded.
 func (s Status) answered() bool { return s == OK || s == Error || s == Full }
 
-// attributeAttempt moves an attempt to the endpoint that had it, where its carrier went elsewhere than it was
-// sent: statistics, and the group in which repeats are dropped, follow that endpoint.
+// attributeAttempt moves an attempt to the endpoint that handled it, if the transport did not use the endpoint that
+// it was sent to: statistics, and the group in which repeats are dropped, follow the endpoint that handled it.
 func (b *Balancer) attributeAttempt(a *attempt, actual uint32) {
 	e := b.endpoints.byID[actual]
 	if e == nil || e == a.endpoint {
--- a/balancer/members.go
+++ b/balancer/members.go
@@ -1,6 +1,6 @@
 package balancer
 
-// UpdateEndpoints handles a membership event of discovery.
+// UpdateEndpoints handles a membership event.
 func (b *Balancer) UpdateEndpoints(now Micros, kind ListKind, entries []Endpoint) {
 	if kind == ListFailed {
 		b.discovery.subscribed = false
@@ -16,22 +16,22 @@
 	}
 	b.endpoints.advance(now)
 	b.endpoints.version++
-	added := b.updateListed(now, entries)
+	added := b.applyEntries(now, entries)
 	if snapshot {
 		b.removeUnlisted()
 	}
 	if live || kind != ListPart && !b.settings.PollDiscovery {
 		b.endpoints.discovered = true
 	}
-	// If a thousand balancers each probed every new endpoint, probes alone would saturate it.
+	// If each of a thousand balancers probed every new endpoint, the probes alone would saturate it.
 	if b.settings.Balancers <= len(b.endpoints.list) {
 		b.probeNew(now, added)
 	}
 }
 
-// updateListed takes over the entries of a membership event, and returns the endpoints that are new or have
+// applyEntries applies the entries of a membership event and returns the endpoints that are new or have
 // restarted.
-func (b *Balancer) updateListed(now Micros, entries []Endpoint) (added []*endpoint) {
+func (b *Balancer) applyEntries(now Micros, entries []Endpoint) (added []*endpoint) {
 	for i := range entries {
 		e, isNew := b.updateEndpoint(now, &entries[i])
 		if isNew && e.State == Ready {
@@ -42,11 +42,11 @@
 	return added
 }
 
-// removeUnlisted removes the endpoints that a snapshot has not named.
+// removeUnlisted removes the endpoints that are missing from a complete list.
 func (b *Balancer) removeUnlisted() {
 	for i := len(b.endpoints.list) - 1; i >= 0; i-- {
 		e := b.endpoints.list[i]
-		if e.listedAt == b.endpoints.version {
+		if e.listedVersion == b.endpoints.version {
 			continue
 		}
 		b.endpoints.exitGroups(e)
@@ -55,7 +55,7 @@
 	}
 }
 
-// updateEndpoint takes over one entry. It reports whether the endpoint is new or has restarted.
+// updateEndpoint applies one entry. It reports whether the endpoint is new or has restarted.
 func (b *Balancer) updateEndpoint(now Micros, in *Endpoint) (e *endpoint, isNew bool) {
 	e = b.endpoints.byID[in.ID]
 	added := e == nil
@@ -63,7 +63,7 @@
 		e = b.endpoints.add(in.ID)
 	}
 	if !added && *in == e.Endpoint {
-		e.listedAt = b.endpoints.version
+		e.listedVersion = b.endpoints.version
 		return e, false
 	}
 	restarted := !added && in.StartTime != 0 && in.StartTime != e.StartTime
@@ -73,10 +73,10 @@
 	}
 	started := in.StartTime
 	if started == 0 && added && b.endpoints.discovered {
-		started = now // it appeared since discovery first answered
+		started = now // not listed when discovery first answered, so it is new
 	}
 	e.Endpoint = *in
-	e.listedAt = b.endpoints.version
+	e.listedVersion = b.endpoints.version
 	b.endpoints.maxWeight = max(b.endpoints.maxWeight, float64(e.Weight))
 	if (added || restarted) && started != 0 && now-started < b.settings.Contract.SlowStartTime {
 		b.startSlowStart(now, e, started)
@@ -85,7 +85,7 @@
 	return e, added || restarted
 }
 
-// resetStatistics forgets what was learned of the old process of an endpoint that has restarted.
+// resetStatistics clears the statistics of the old process of an endpoint that has restarted.
 func (b *Balancer) resetStatistics(e *endpoint) {
 	b.probes.remove(e)
 	*e = endpoint{inFlight: e.inFlight, listIndex: e.listIndex, memberships: e.memberships}
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -1,17 +1,18 @@
 package balancer
 
 const (
-	recentDraws         = 4    // of recently used endpoints, that a pick considers
-	maxRecent           = 32   // recently used endpoints remembered
-	queueDelayWeight    = 0.05 // of the delay that a send causes to those in flight
-	crossZoneWeight     = 2.0  // latency objectives that the price of leaving the zone counts as
-	idleConnectionRatio = 0.7  // of the keep-alive time, for which an idle connection is relied on
-	connectRoundTrips   = 2.0  // to open a connection
-	connectCostRatio    = 0.2  // of the latency objective, for the work and price of opening a connection
+	recentDraws         = 4    // draws from the recently used endpoints in one pick
+	maxRecent           = 32   // recently used endpoints recorded
+	queueDelayWeight    = 0.05 // weight of the delay that a send causes to requests in flight
+	crossZoneWeight     = 2.0  // latency objectives that a price of 1 for leaving the zone counts as
+	idleConnectionRatio = 0.7  // of the keep-alive time, for which an idle connection is assumed to stay open
+	connectRoundTrips   = 2.0  // round trips to open a connection
+	connectCostRatio    = 0.2  // cost of opening a connection, as a ratio of the latency objective
 )
 
-// cost ranks endpoints for r: the predicted latency in µs, and as time a zone crossing and likely failures.
-// An endpoint that answers in time goes first, even if remote or failing.
+// cost ranks endpoints for r: the predicted latency in µs, plus penalties for failures, for leaving the zone
+// and for opening a connection. The penalty for a late answer ranks an endpoint that answers in time first,
+// even if it is remote or failing.
 func (b *Balancer) cost(now Micros, r *request, e *endpoint) float64 {
 	objective := float64(b.classOf(r).LatencyObjective)
 	expected := b.predictLatency(now, e, b.expectedWork(now, r, e))
@@ -26,7 +27,7 @@
 	return cost + crossZoneWeight*b.settings.Prices.CrossZone*objective*indicator(remote)
 }
 
-// likelyConnected reports whether an idle connection to e is likely; true where that does not matter.
+// likelyConnected reports whether an idle connection to e is likely, or true if connections do not matter.
 func (b *Balancer) likelyConnected(now Micros, e *endpoint) bool {
 	lifetime := Micros(idleConnectionRatio * float64(b.settings.Limits.KeepAlive))
 	if lifetime == 0 {
@@ -35,7 +36,7 @@
 	return e.inFlight == 0 && e.lastResponseAt > 0 && now-e.lastResponseAt < lifetime
 }
 
-// selection finds the endpoint of the least cost for a request.
+// selection finds the endpoint with the lowest cost for a request.
 type selection struct {
 	b       *Balancer
 	now     Micros
@@ -45,7 +46,7 @@
 	minCost float64
 }
 
-// consider takes e if it costs less than the best so far.
+// consider selects e if its cost is lower than that of the best endpoint so far.
 func (s *selection) consider(e *endpoint) {
 	if cost := s.b.cost(s.now, s.r, e); s.best == nil || cost < s.minCost {
 		s.best = e
@@ -53,7 +54,7 @@
 	}
 }
 
-// permitted reports whether r may be sent to e, which it was not sent to yet.
+// permitted reports whether r may be sent to e and was not sent to it yet.
 func (s *selection) permitted(e *endpoint) bool {
 	return e != s.exclude && !s.r.triedEndpoint(e) && s.b.maySend(s.now, s.r, e)
 }
@@ -65,8 +66,9 @@
 	}
 }
 
-// pick returns the endpoint with a fresh report that costs least for r, among those that the rules permit;
-// without enough fresh reports, random draws, recently used endpoints and the key's owners compete.
+// pick returns the endpoint with a fresh report that has the lowest cost for r, among those that the rules
+// permit. If there are too few fresh reports, random endpoints, recently used ones and the key's owners
+// compete too.
 func (b *Balancer) pick(now Micros, r *request, exclude *endpoint) *endpoint {
 	s := selection{b: b, now: now, r: r, exclude: exclude}
 	b.probes.dropStale(now, b.maxReportAge(now, b.classOf(r).LatencyObjective))
@@ -77,18 +79,18 @@
 			s.consider(e)
 		}
 	}
-	// A small pool would attract everything: while most endpoints have no report, others compete.
+	// A small pool would attract all traffic, so others compete while most endpoints have no report.
 	if s.best == nil || !b.probes.onDemand && 2*len(pool) < min(len(b.endpoints.list), maxCandidates) {
 		s.considerOthers()
 	}
-	// A group may have no other endpoint left, and what the network path lost may arrive the next time.
+	// The group may have no other endpoint, and a retry may succeed where the network path failed.
 	if s.best == nil && len(r.attempts) > 0 {
 		s.considerRetried()
 	}
 	return s.best
 }
 
-// considerOthers considers endpoints without a fresh report.
+// considerOthers considers endpoints regardless of whether they have a fresh report.
 func (s *selection) considerOthers() {
 	b := s.b
 	for range 2 { // power of two choices
@@ -96,7 +98,7 @@
 			s.consider(e)
 		}
 	}
-	// A connection to a recently used endpoint may be open.
+	// A recently used endpoint may have an open connection.
 	for range recentDraws * min(1, b.recent.count) {
 		s.offer(b.recent.ring[int(b.random.float()*float64(b.recent.len()))])
 	}
@@ -107,7 +109,8 @@
 	}
 }
 
-// considerRetried takes an endpoint that has not itself failed r.
+// considerRetried considers an endpoint that has not itself failed r. Failures of the network path do not
+// count.
 func (s *selection) considerRetried() {
 	group := s.b.candidateGroup(s.r)
 	if group == nil || !s.b.mayAttempt(s.now, s.r) {
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -1,19 +1,20 @@
 package balancer
 
-const maxPollBackoff = 5 * second / 2 // before jitter: a change must be known 6 s after discovery is back
+// maxPollBackoff is the limit before jitter: a change must be known 6 s after discovery is reachable again.
+const maxPollBackoff = 5 * second / 2
 
-// pollDiscovery subscribes to discovery, unless a subscription stands or the timer is out of date.
+// pollDiscovery subscribes to discovery, unless a subscription is active or the timer is outdated.
 func (b *Balancer) pollDiscovery(now Micros) {
 	if !b.settings.PollDiscovery || b.discovery.subscribed || now < b.discovery.pollAt {
 		return
 	}
 	b.actions.Watch(true)
-	// The response may be lost, and without one no update would ever come.
+	// The response may be lost, and without a subscription no update would ever arrive.
 	interval := b.settings.Contract.PollInterval
 	b.schedulePoll(now, 1+interval/2+b.random.below(interval/4))
 }
 
-// pollAfterBackoff polls again with exponential backoff and jitter.
+// pollAfterBackoff schedules the next poll with exponential backoff and jitter.
 func (b *Balancer) pollAfterBackoff(now Micros) {
 	if !b.settings.PollDiscovery {
 		return
--- a/balancer/probe_pool.go
+++ b/balancer/probe_pool.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// probePool holds the endpoints with a fresh load report, maxCandidates at most, and the mode of probing.
+// probePool holds at most maxCandidates endpoints with a fresh load report, and the mode of probing.
 type probePool struct {
 	pool       []*endpoint
 	perRequest float64 // probes on demand for one request
 	onDemand   bool    // probes are sent for single requests, not in rounds
 
-	newAllowance float64 // probes of new endpoints that may be sent
-	newEarnedAt  Micros  // when it was last added to
+	newAllowance float64 // tokens for probes of new endpoints
+	newEarnedAt  Micros  // when tokens were last added
 }
 
-// add enters an endpoint that reports now, in place of the one with the oldest report if the pool is full.
+// add adds an endpoint that reports now. If the pool is full, it replaces the endpoint with the oldest report.
 func (p *probePool) add(e *endpoint) {
 	if e.pooled {
 		return
@@ -35,7 +35,7 @@
 	p.pool[oldest] = e
 }
 
-// remove takes out an endpoint.
+// remove removes an endpoint.
 func (p *probePool) remove(e *endpoint) {
 	if e.pooled {
 		e.pooled = false
@@ -43,7 +43,7 @@
 	}
 }
 
-// dropStale removes endpoints whose report is older than maxAge, or that are not ready.
+// dropStale removes endpoints whose report is older than maxAge, or which are not ready.
 func (p *probePool) dropStale(now, maxAge Micros) {
 	p.pool = slices.DeleteFunc(p.pool, func(e *endpoint) bool {
 		e.pooled = e.State == Ready && now-e.reportedAt <= maxAge
@@ -51,25 +51,25 @@
 	})
 }
 
-// reportQuality measures how far load reports and probes can be trusted.
+// reportQuality measures how reliable load reports and probes are.
 type reportQuality struct {
 	queued    ewma // ratio of probes that queued at the endpoint
-	lateRatio ewma // ratio of load reports that must be late
-	late      bool // reports are too late to decide by
+	lateRatio ewma // ratio of load reports that are certainly late
+	late      bool // reports are too late to base decisions on
 }
 
-// addBaselineLoad adds what a probe shows of the load of other balancers at an endpoint.
+// addBaselineLoad adds a sample, obtained from a probe, of the load that other balancers cause at an endpoint.
 func (b *Balancer) addBaselineLoad(others float64) {
 	b.estimates.baselineLoad.add(others, baselineProbeWeight)
 }
 
-// queuedAhead is how many requests are ahead of a probe that is queued for so long, in µs.
+// queuedAhead estimates the number of requests ahead of a probe from its time in the queue, in µs.
 func (b *Balancer) queuedAhead(queueing float64) float64 {
 	return queueing / b.classes[0].work.value * assumedCores
 }
 
-// reportedInFlight returns the least number of requests in flight that a load report proves, or -1; counted
-// says that the endpoint has counted them.
+// reportedInFlight returns the lowest number of requests in flight that a load report implies, or -1 if it implies
+// none; counted reports whether the endpoint has counted them.
 func reportedInFlight(fields []Field, load []float32) (inFlight float64, counted bool) {
 	if inFlight = reportValue(fields, load, FieldInFlight); inFlight >= 0 {
 		return inFlight, true
@@ -83,7 +83,7 @@
 	return -1, false
 }
 
-// reportValue returns a figure of a load report, or -1 if it is missing or makes no sense.
+// reportValue returns a figure of a load report, or -1 if it is missing or invalid.
 func reportValue(fields []Field, load []float32, want Field) float64 {
 	for i, field := range fields[:min(len(fields), len(load))] {
 		value := float64(load[i])
@@ -94,14 +94,14 @@
 	return -1
 }
 
-// discoveryPolling is when discovery is polled next.
+// discoveryPolling is the state of the subscription to discovery and of its retries.
 type discoveryPolling struct {
 	subscribed bool
-	pollAt     Micros // unless subscribed by then
+	pollAt     Micros // time of the next poll, unless subscribed by then
 	backoff    Micros
 }
 
-// schedulePoll sets the instant of the next poll of discovery.
+// schedulePoll schedules the next poll of discovery.
 func (b *Balancer) schedulePoll(now, delay Micros) {
 	b.discovery.pollAt = now + delay
 	b.actions.Timer(delay, discoveryTimer)
--- a/balancer/probes.go
+++ b/balancer/probes.go
@@ -3,32 +3,32 @@
 import "slices"
 
 const (
-	probeCostRatio      = 0.005       // of the result, at most, is spent on rounds of probes
-	onDemandCostRatio   = 0.02        // of the result, at most, is spent on probes on demand
-	maxProbesPerRequest = 4.0         // whatever they cost
-	minAdmittedRatio    = 0.3         // of requests is assumed, at least, to set the rate of probes
+	probeCostRatio      = 0.005       // upper limit of the cost of probe rounds, as a ratio of the result
+	onDemandCostRatio   = 0.02        // upper limit of the cost of probes on demand, as a ratio of the result
+	maxProbesPerRequest = 4.0         // regardless of their cost
+	minAdmittedRatio    = 0.3         // lowest ratio of admitted requests assumed for the probe rate
 	maxProbeInterval    = second / 10 // µs between rounds
 	probesPerRound      = 3
-	maxNewProbes        = 32         // of new endpoints at once
-	probeTimeout        = 5 * second // after which a probe without response is lost
-	maxProbeWaitRatio   = 0.1        // of its latency objective, at most, a request waits for probes
-	reportAge           = second     // a report is fresh for this long,
-	reportRounds        = 3          // or until the fleet, up to maxCandidates, was probed so often;
-	onDemandReportAge   = 0.25       // of the latency objective, for probes on demand
-	roundTripRiseWeight = 0.01       // of a slower probe: the round trip to a zone seldom changes
-	minQueuedProbeRatio = 0.05       // of probes, from which all are taken to queue at endpoints
-	minQueuedRequests   = 0.5        // ahead of a probe that queued: less is jitter
+	maxNewProbes        = 32         // probes of new endpoints at once
+	probeTimeout        = 5 * second // a probe without response is considered lost after this time
+	maxProbeWaitRatio   = 0.1        // longest wait of a request for probes, as a ratio of its latency objective
+	reportAge           = second     // a report is fresh for this time,
+	reportRounds        = 3          // or until the fleet, up to maxCandidates, has been probed this many times
+	onDemandReportAge   = 0.25       // age limit with probes on demand, as a ratio of the latency objective
+	roundTripRiseWeight = 0.01       // weight of a slower probe; low, as the round trip to a zone seldom changes
+	minQueuedProbeRatio = 0.05       // ratio of queued probes above which all endpoints are taken to queue them
+	minQueuedRequests   = 0.5        // requests ahead of a probe from which it counts as queued; less is jitter
 	minLocalLoad        = 0.1        // requests in flight per endpoint from which local counts show the load
-	minReportedRatio    = 0.8        // of local requests that a timely report counts: reports are noisy
-	maxLateReportRatio  = 0.1        // of reports, above which averages are used in place of reports
-	settledRoundTrips   = 5.0        // after which a send has surely arrived
-	ratioWeight         = 0.02       // of the latest sample in a ratio of requests, probes or reports
+	minReportedRatio    = 0.8        // of local requests that a timely report counts; reports are noisy
+	maxLateReportRatio  = 0.1        // ratio of late reports above which averages replace reports
+	settledRoundTrips   = 5.0        // round trips after which a send has certainly arrived
+	ratioWeight         = 0.02       // weight of the latest sample in a ratio of requests, probes or reports
 )
 
-// probeRate is how many probes a second their price permits.
+// probeRate returns the number of probes per second that their price permits.
 func (b *Balancer) probeRate(now Micros) float64 {
 	perRequest := min(maxProbesPerRequest, probeCostRatio/b.settings.Prices.Probe)
-	// The price is per request. While all are rejected, reports must still show when that may end.
+	// The price is per request. While all are rejected, reports must still show when rejections may end.
 	admitted := max(minAdmittedRatio, 1-b.traffic.rejected.value)
 	return max(1, perRequest*b.traffic.demand.rate(now)*admitted)
 }
@@ -37,14 +37,14 @@
 // Prequal.
 func (b *Balancer) holdForProbes(now Micros, r *request) bool {
 	enabled := b.probes.onDemand && b.settings.Limits.Probes && len(b.settings.Fields) > 0
-	// While most are rejected, most are sent without: clients retry, and probes alone would fill the fleet.
+	// When most requests are rejected, most skip probing: clients retry, and probes alone would fill the fleet.
 	if !enabled || b.random.float() > max(minAdmittedRatio, 2-2*b.traffic.rejected.value) {
 		return false
 	}
 	wait := min(maxProbeWaitRatio*float64(b.classOf(r).LatencyObjective), float64(r.Deadline-now)/4)
 	for i := range int(b.probes.perRequest) {
-		// One of the own zone, and others whose response can come in time: one from a remote zone would be late,
-		// and so would its answer. While much is rejected, endpoints with capacity are sought there.
+		// The first is in this zone. The others must be able to respond in time: a remote response would be late,
+		// and so would the answer. While many requests are rejected, endpoints with capacity are sought there too.
 		maxRoundTrip := wait / 2
 		if i == 0 {
 			maxRoundTrip = 0
@@ -66,13 +66,14 @@
 	return true
 }
 
-// resumeWaiting decides on the requests that waited for e's response alone, or need no other.
+// resumeWaiting decides on the requests that were waiting only for e's response, or need no other because e
+// is idle.
 func (b *Balancer) resumeWaiting(now Micros, e *endpoint) {
 	for i := len(b.ledger.waitingForProbes) - 1; i >= 0; i = min(i, len(b.ledger.waitingForProbes)) - 1 {
 		r := b.ledger.waitingForProbes[i]
 		awaited := len(r.awaitedProbes)
 		r.awaitedProbes = slices.DeleteFunc(r.awaitedProbes, func(a *endpoint) bool { return a == e })
-		// Nothing is better than an endpoint with a free core.
+		// No endpoint can be better than one with a free core.
 		idle := e.reportedAt == now && e.otherInFlight+float64(e.inFlight) <= assumedCores-1
 		if len(r.awaitedProbes) < awaited && (idle || len(r.awaitedProbes) == 0) {
 			b.sendOrReject(now, r)
@@ -80,7 +81,7 @@
 	}
 }
 
-// maxReportAge is how long a report may be used for a request with this latency objective.
+// maxReportAge returns how long a report may be used for a request with this latency objective.
 func (b *Balancer) maxReportAge(now, objective Micros) Micros {
 	if b.probes.onDemand {
 		return Micros(onDemandReportAge * float64(objective))
@@ -101,8 +102,9 @@
 	b.actions.Probe(e.ID)
 }
 
-// probeNew probes endpoints that a membership event has added, or as many random ones as their allowance
-// permits: it is earned at the rate of probes, which follows the balancer's own traffic.
+// probeNew probes endpoints that a membership event has added. If the allowance is too low for all of them,
+// they are chosen at random. The allowance is earned at the probe rate, which follows the balancer's own
+// traffic.
 func (b *Balancer) probeNew(now Micros, added []*endpoint) {
 	if len(added) == 0 {
 		return
@@ -122,7 +124,7 @@
 	}
 }
 
-// runProbeRound probes a few random ready endpoints and arms the next round.
+// runProbeRound probes a few random ready endpoints and schedules the next round.
 func (b *Balancer) runProbeRound(now Micros) {
 	rate := b.probeRate(now)
 	b.probes.onDemand = b.needsProbesOnDemand(now, rate)
@@ -144,7 +146,8 @@
 }
 
 // needsProbesOnDemand reports whether probing the whole fleet takes longer than reports stay fresh, while
-// local counts show little: a pool of old reports sends everyone to endpoints that were idle long ago.
+// local counts show little: with a pool of old reports, all balancers would send to endpoints that are no
+// longer idle.
 func (b *Balancer) needsProbesOnDemand(now Micros, rate float64) bool {
 	fleet := float64(len(b.endpoints.list))
 	inFlight := b.traffic.demand.rate(now) * b.classes[0].work.value / float64(second)
@@ -152,7 +155,7 @@
 	return b.probes.perRequest >= 1 && slow && inFlight < minLocalLoad*fleet
 }
 
-// ProbeCompleted handles the end of a probe, with a load report if it was answered.
+// ProbeCompleted handles the end of a probe, with a load report if the endpoint sent one.
 func (b *Balancer) ProbeCompleted(now Micros, id uint32, status Status, latency Micros, load []float32) {
 	e := b.endpoints.byID[id]
 	if e == nil {
@@ -164,14 +167,14 @@
 		e.lastResponseAt = now
 	}
 	if status != OK {
-		e.reportedAt = 0 // one that rejects probes or leaves them waiting should have no request
+		e.reportedAt = 0 // an endpoint that rejects or delays probes should get no requests
 		if status == Timeout {
 			b.addBaselineLoad(assumedCores + b.queuedAhead(float64(latency)))
 		}
 		b.resumeWaiting(now, e)
 		return
 	}
-	// The fastest response of a zone is its round trip alone; the rest of a latency was spent in the queue.
+	// The lowest latency in a zone is its round trip; the rest of a latency is time in the queue.
 	roundTrip := &b.estimates.roundTrip[e.Zone]
 	roundTrip.add(float64(latency), roundTripRiseWeight)
 	roundTrip.value = min(roundTrip.value, float64(latency))
@@ -190,7 +193,7 @@
 	}
 }
 
-// recordLoad takes a report of the requests in flight at e into the pool.
+// recordLoad adds e to the pool with its reported number of requests in flight.
 func (b *Balancer) recordLoad(now Micros, e *endpoint, inFlight, queued float64) {
 	b.probes.add(e)
 	e.hasLoad = true
@@ -200,14 +203,15 @@
 	b.addBaselineLoad(e.otherInFlight)
 	probesQueue := b.reports.queued.value > minQueuedProbeRatio
 	if probesQueue && queued < minQueuedRequests && b.estimates.baselineLoad.value < assumedCores {
-		// Probes queue at endpoints, and this one did not, whatever an old report says. In a fleet that is busy all
-		// over that is chance, and the report says more.
+		// Probes queue at other endpoints but did not at this one, so it has a free core even if an old report says
+		// otherwise. In a fleet that is busy everywhere that is chance, and the report is the better evidence.
 		e.otherInFlight = min(e.otherInFlight, assumedCores-1)
 	}
 }
 
-// checkReport detects late reports: a report that counts fewer requests than we alone have in flight is late,
-// unless some are still on their way. If many are, the pool misleads, and averages are used in its place.
+// checkReport detects late reports: a report that counts fewer requests than this balancer alone has in
+// flight is late, unless some have not arrived yet. If many are late, the pool misleads, and averages are
+// used instead.
 func (b *Balancer) checkReport(now Micros, e *endpoint, inFlight float64) {
 	local := float64(e.inFlight)
 	settled := settledRoundTrips * b.estimates.roundTrip[e.Zone].value
@@ -219,6 +223,6 @@
 	late := quality.lateRatio.value
 	if late > maxLateReportRatio && !quality.late || late < maxLateReportRatio/3 && quality.late {
 		quality.late = !quality.late
-		b.log(now, "load report trust changed", "reports_late", quality.late, "late_ratio", roundForLog(late))
+		b.log(now, "load report reliability changed", "reports_late", quality.late, "late_ratio", roundForLog(late))
 	}
 }
--- a/balancer/rejection.go
+++ b/balancer/rejection.go
@@ -3,22 +3,23 @@
 import "math"
 
 const (
-	maxQueueingRatio  = 0.6    // of the time left to the objective: queueing accepted for the highest priority
-	minQueueingRatio  = 0.2    // and for any
-	tenantTolerance   = 0.12   // of its quota, by which a tenant is ahead of the others at its least weight
-	worstWindowGain   = 4.0    // weight counts more in the worst windows, when requests are rejected
-	minClassWorkRatio = 0.05   // of all work, below which a class gains nothing from being smaller
-	fairnessScale     = 0.1    // ratio of requests in time, by which a class is served e times as badly
-	onTimeWeight      = 0.02   // of the latest request in the ratio of requests answered in time
-	minTrialInterval  = 10     // requests over the latency limit: one in so many is sent all the same,
-	maxTrialInterval  = 640    // and one in so many after trials that were not answered in time
-	retryTransit      = 50_000 // µs kept of a deduplication window for a client's retry to arrive
+	maxQueueingRatio  = 0.6    // of the time left to the objective: queueing accepted at the highest priority
+	minQueueingRatio  = 0.2    // the same at the lowest priority
+	tenantTolerance   = 0.12   // excess over its quota, as a ratio, at which a tenant has the lowest weight
+	worstWindowGain   = 4.0    // weight counts more in the worst windows, which are those with rejections
+	minClassWorkRatio = 0.05   // of all work; a class below it gains no further priority from being small
+	fairnessScale     = 0.1    // difference in the ratio of requests in time that multiplies urgency by e
+	onTimeWeight      = 0.02   // weight of the latest request in the ratio of requests answered in time
+	minTrialInterval  = 10     // one in this many requests over the latency limit is sent as a trial,
+	maxTrialInterval  = 640    // and one in this many after trials that were not answered in time
+	retryTransit      = 50_000 // µs of a deduplication window reserved for a client's retry to arrive
 )
 
-// exceedsLimit reports whether r would come too late from e to be worth its work. It does not where nobody
-// queues while the fleet is well, since few samples of a long-tailed latency make a healthy endpoint look
-// hopeless. As with the breaker, a trial is sent now and then, so that a wrong prediction does not persist:
-// one in many, since a trial a second of each of a thousand balancers would overload the fleet again.
+// exceedsLimit reports whether the answer to r from e would be too late to be worth the work. It returns
+// false if nothing queues and the fleet is healthy, since a few samples of a long-tailed latency can make a
+// healthy endpoint look too slow. As with the breaker, a trial is sent occasionally, so that a wrong
+// prediction does not persist. It is one in many requests, since a trial per second from each of a thousand
+// balancers would overload the fleet again.
 func (b *Balancer) exceedsLimit(now Micros, r *request, e *endpoint, mayTry bool) bool {
 	predicted := b.predictLatency(now, e, b.expectedWork(now, r, e))
 	limit := b.latencyLimit(now, r, e)
@@ -40,26 +41,27 @@
 	return false
 }
 
-// latencyLimit is the longest predicted latency at which r is still sent to e: its time there without a
-// queue, and for queueing a part of the time left to its objective. Low priorities give way first.
+// latencyLimit returns the highest predicted latency at which r is still sent to e: its time there without a
+// queue, plus a part of the time left to its objective. The part is smaller for low priorities, which are
+// rejected first.
 func (b *Balancer) latencyLimit(now Micros, r *request, e *endpoint) float64 {
 	service := b.expectedWork(now, r, e) * b.trend.slowdown() * e.currentSlowness(now, b)
 	unqueued := b.estimates.roundTrip[e.Zone].value + service
 	queueing := max(minQueueingRatio, maxQueueingRatio*r.priority)
 	if b.safeRetryWindow(now, r) == 0 {
-		queueing = maxQueueingRatio // it can no longer be rejected, and would fail
+		queueing = maxQueueingRatio // the request can no longer be rejected, only failed
 	}
 	if n := len(r.attempts); b.reports.late || n > 0 && r.attempts[n-1].overdue {
-		// Either the least loaded endpoint is unknown, and averages must not reject what it would serve, or the
-		// attempt was dropped: it has waited longer than its class should already.
+		// Either reports are late, and averages must not reject what the unknown least loaded endpoint would serve,
+		// or the previous attempt was dropped, and the request has already waited longer than its class should.
 		queueing = 1
 	}
 	spare := float64(b.classOf(r).LatencyObjective) - float64(now-r.arrivedAt) - unqueued
 	return min(unqueued+queueing*spare, float64(r.Deadline-now))
 }
 
-// priority ranks r, 0 to 1, by what the goal gains from a unit of its class's work, and by its tenant's
-// quota.
+// priority ranks r from 0 to 1 by the contribution of a unit of its class's work to the goal, and by the
+// quota of its tenant.
 func (b *Balancer) priority(now Micros, r *request) float64 {
 	var work, weight float64 // per second, of all classes
 	worst := 1.0             // ratio of requests in time, of any class
@@ -71,7 +73,7 @@
 		rate := class.arrivals.rate(now)
 		work += rate * class.work.value
 		weight += rate * b.classWeight(i)
-		worst = min(worst, class.onTime.or(1))
+		worst = min(worst, class.onTime.valueOr(1))
 	}
 	var highest, requestGain float64
 	for i := range b.classes {
@@ -88,14 +90,14 @@
 	return requestGain / highest * b.tenantWeight(now, r)
 }
 
-// classGain is what the goal gains from a unit of a class's work: its weight per work over that of all, and
-// more if it is the class that is served worst.
+// classGain returns the contribution of a unit of a class's work to the goal: its weight per work relative to
+// that of all classes, plus a term that is larger the worse the class is served.
 func (b *Balancer) classGain(now Micros, i int, work, weight, worst float64) float64 {
 	class, goal := &b.classes[i], &b.settings.Goal
 	workRatio := class.arrivals.rate(now) * class.work.value / work
 	windows := goal.Overall + worstWindowGain*goal.WorstWindow
 	gain := windows * b.classWeight(i) / class.work.value * work / weight
-	urgency := math.Exp((worst - class.onTime.or(1)) / fairnessScale)
+	urgency := math.Exp((worst - class.onTime.valueOr(1)) / fairnessScale)
 	return gain + goal.WorstClass/max(minClassWorkRatio, workRatio)*urgency
 }
 
@@ -105,8 +107,9 @@
 	return b.settings.Classes[class].PriorityWeight * perRequest
 }
 
-// tenantWeight is 1 while r's tenant has had no more than its quota's part of what was sent, and falls to
-// OverQuotaWeightRatio once it is ahead by tenantTolerance. Only the sends of this balancer are known.
+// tenantWeight returns 1 while r's tenant has had no more than its quota's part of the requests sent, and
+// falls to OverQuotaWeightRatio as the excess reaches tenantTolerance. Only the sends of this balancer are
+// known.
 func (b *Balancer) tenantWeight(now Micros, r *request) float64 {
 	if int(r.Tenant) >= len(b.tenants) {
 		return 1
@@ -124,8 +127,8 @@
 	return max(b.settings.OverQuotaWeightRatio, 1-max(0, excess)/tenantTolerance)
 }
 
-// safeRetryWindow is for how long a client that is rejected may retry without a second effect; 0 if it must
-// not be promised that.
+// safeRetryWindow returns for how long a rejected client may retry without a second effect, or 0 if the
+// balancer must not guarantee that.
 func (b *Balancer) safeRetryWindow(now Micros, r *request) Micros {
 	class, first := b.classOf(r), r.firstMayHaveRun()
 	switch {
@@ -137,17 +140,17 @@
 	return 0
 }
 
-// reject gives the final answer that promises that a retry is harmless, or fails r where it is not.
+// reject gives the final answer that guarantees that a retry is harmless, or fails r if a retry is not.
 func (b *Balancer) reject(now Micros, r *request) {
 	window := b.safeRetryWindow(now, r)
 	if r.finished || window == 0 {
 		b.fail(now, r)
 		return
 	}
-	b.logAnswer(now, "request rejected", r)
+	b.logFinalAnswer(now, "request rejected", r)
 	var retryAfter Micros
 	if b.settings.Limits.RetryAfter {
-		// Spread the retries, and let them come while an answer is still wanted.
+		// Spread out the retries, but early enough that an answer is still useful.
 		ratio := 0.1 + 0.2*b.random.float()
 		retryAfter = Micros(ratio * float64(b.classOf(r).LatencyObjective))
 		retryAfter = min(retryAfter, b.settings.Limits.MaxRetryAfter, window)
@@ -156,10 +159,10 @@
 	b.finish(r)
 }
 
-// fail gives the final answer that promises nothing.
+// fail gives the final answer without a guarantee.
 func (b *Balancer) fail(now Micros, r *request) {
 	if !r.finished {
-		b.logAnswer(now, "request failed", r)
+		b.logFinalAnswer(now, "request failed", r)
 		b.actions.Fail(r.ID)
 		b.finish(r)
 	}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Idempotency is what a second run of a request of a class would do.
+// Idempotency states the effect of running a request of a class a second time.
 type Idempotency uint8
 
-// The three kinds of class.
+// The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // a second run has no effect
 	IdempotentWithKey                    // a group of endpoints drops repeats within a window
@@ -25,8 +25,7 @@
 // Field is one figure of a load report.
 type Field uint8
 
-// The figures that a load report may carry. FieldOther is unknown to this version
-// and skipped.
+// The figures that a load report may carry. FieldOther marks a figure that this version does not know and skips.
 const (
 	FieldOther       Field = iota
 	FieldInFlight          // requests in flight at the endpoint
@@ -44,10 +43,10 @@
 	Group            Group   // with IdempotentWithKey only
 	DedupWindow      Micros  // with IdempotentWithKey only: how long the group drops repeats
 	LatencyObjective Micros  // an answer within this time has the full weight
-	ClientTimeout    Micros  // over all attempts of the client, its retries included
+	ClientTimeout    Micros  // over all attempts of the client, including its retries
 	PriorityWeight   float64 // of one request, or of one unit of work with WeightByWork
-	LateWeightRatio  float64 // ratio of the weight that a later answer has
-	HedgeQuantile    float64 // of its latencies, after which a request is hedged; 0 for never
+	LateWeightRatio  float64 // ratio of its weight that a later answer still has
+	HedgeQuantile    float64 // quantile of its latencies after which a request is hedged; 0 for never
 	Retired          bool    // no new request is of this class
 	Streaming        bool    // answers are streamed: ResponseStarted announces them
 }
@@ -59,11 +58,11 @@
 	Share float64
 }
 
-// RetryBudget is a token bucket that bounds retries of requests that may have run: each request that has the
-// budget earns EarnRatio of a retry, up to Burst.
+// RetryBudget is a token bucket that limits retries of requests that may have run: each request that uses the
+// budget adds EarnRatio retries to it, up to Burst.
 type RetryBudget struct{ EarnRatio, Burst float64 }
 
-// Limits holds what the deployment permits. No decision reads PeerMessages and DialTimeout.
+// Limits holds the limits that the deployment sets. No decision reads PeerMessages and DialTimeout.
 type Limits struct {
 	Cancel, Probes, Hedging, RetryAfter, PeerMessages bool
 
@@ -71,22 +70,22 @@
 	MaxOpen       int    // requests without final answer per balancer
 	MaxRetryAfter Micros // the longest Retry-After that clients honour
 	DialTimeout   Micros
-	KeepAlive     Micros // how long endpoints keep an idle connection; 0 where connections do not matter
+	KeepAlive     Micros // how long endpoints keep an idle connection; 0 if connections do not matter
 }
 
-// Contract holds the figures of the rules. No decision reads DrainGrace and AnswerSlack: nothing is sent to a
+// Contract holds the parameters of the rules. No decision reads DrainGrace and AnswerSlack: nothing is sent to a
 // draining endpoint, and final answers are given by the deadline.
 type Contract struct {
 	DrainGrace       Micros
-	SlowStartRatio   float64 // of its capacity that an endpoint has at its start
-	SlowStartTime    Micros  // after which it has all of its capacity
-	OverloadMultiple float64 // of its present capacity, which overloads an endpoint in slow start
-	OverloadTime     Micros  // if it is sent that for so long
+	SlowStartRatio   float64 // ratio of its capacity that an endpoint has at its start
+	SlowStartTime    Micros  // time after which an endpoint has its full capacity
+	OverloadMultiple float64 // multiple of its present capacity that overloads an endpoint in slow start
+	OverloadTime     Micros  // time for which it must be sent that much to be overloaded
 	PollInterval     Micros  // a balancer without subscription must poll discovery this often
 	AnswerSlack      Micros
 }
 
-// Prices holds the cost of events, as a ratio of the weight of a request. No decision reads Waste and LateFail.
+// Prices holds the cost of events as a ratio of the weight of a request. No decision reads Waste and LateFail.
 type Prices struct {
 	CrossZone, Probe, Waste, LateFail float64
 }
@@ -99,30 +98,30 @@
 // Settings is the configuration of a balancer. No decision reads Position, Zones and Kinds.
 type Settings struct {
 	Balancers     int // in this tier, including this one
-	Position      int // of this balancer among them
+	Position      int // index of this balancer in the tier
 	Zone          int // of this balancer
 	Zones         int
-	Kinds         int  // of machine
-	PollDiscovery bool // discovery must be polled: it sends nothing unasked
+	Kinds         int  // number of kinds of machine
+	PollDiscovery bool // discovery must be polled: it pushes no updates without a subscription
 
 	Classes []Class
 	Tenants []Tenant
-	Budgets []RetryBudget // that requests may name in place of the common one
-	Fields  []Field       // of a load report, in order
+	Budgets []RetryBudget // that requests may select instead of the shared one
+	Fields  []Field       // figures of a load report, in order
 
 	Limits               Limits
 	Contract             Contract
 	Prices               Prices
 	Goal                 Goal
 	Tick                 Micros  // the shortest time between two batches of events
-	OverQuotaWeightRatio float64 // of the weight of a request whose tenant is over its quota
-	WeightByWork         bool    // weight is per unit of work, not per request
-	KeyAffinity          bool    // an endpoint that has lately served a key does less work for it
+	OverQuotaWeightRatio float64 // lowest ratio of its weight that a request of a tenant over its quota has
+	WeightByWork         bool    // PriorityWeight is per unit of work, not per request
+	KeyAffinity          bool    // an endpoint that has recently served a key does less work for it
 }
 
 // SettingError reports an invalid setting.
 type SettingError struct {
-	Key    string // path of the field, as in Classes[0].LatencyObjective
+	Key    string // path of the field, such as Classes[0].LatencyObjective
 	Value  string
 	Reason string
 }
@@ -145,19 +144,19 @@
 	check(s.Zone >= 0, "Zone", s.Zone, "must not be negative")
 	check(s.Kinds >= 0, "Kinds", s.Kinds, "must not be negative")
 	check(s.Tick >= 0, "Tick", s.Tick, "must not be negative")
-	check(len(s.Classes) > 0, "Classes", "none", "at least one class is needed")
+	check(len(s.Classes) > 0, "Classes", "none", "must contain at least one class")
 	for i, class := range s.Classes {
 		key := func(name string) string { return fmt.Sprintf("Classes[%d].%s", i, name) }
-		check(class.Idempotency <= NotIdempotent, key("Idempotency"), class.Idempotency, "not a known kind")
-		check(class.Group <= GroupCell, key("Group"), class.Group, "not a known group")
+		check(class.Idempotency <= NotIdempotent, key("Idempotency"), class.Idempotency, "must be a known idempotency")
+		check(class.Group <= GroupCell, key("Group"), class.Group, "must be a known group")
 		check(class.DedupWindow >= 0, key("DedupWindow"), class.DedupWindow, "must not be negative")
 		check(class.LatencyObjective > 0, key("LatencyObjective"), class.LatencyObjective, "must be positive")
 		check(class.ClientTimeout > 0, key("ClientTimeout"), class.ClientTimeout, "must be positive")
 		check(class.PriorityWeight >= 0, key("PriorityWeight"), class.PriorityWeight, "must not be negative")
 		check(class.HedgeQuantile >= 0 && class.HedgeQuantile < 1, key("HedgeQuantile"), class.HedgeQuantile,
-			"must be in 0..1, not 1")
+			"must be at least 0 and less than 1")
 		check(class.LateWeightRatio >= 0 && class.LateWeightRatio <= 1, key("LateWeightRatio"), class.LateWeightRatio,
-			"must be in 0..1")
+			"must be between 0 and 1")
 	}
 	for i, budget := range s.Budgets {
 		check(budget.EarnRatio >= 0 && budget.Burst >= 0, fmt.Sprintf("Budgets[%d]", i), budget, "must not be negative")
@@ -178,7 +177,7 @@
 	check(limits.DialTimeout >= 0, "Limits.DialTimeout", limits.DialTimeout, "must not be negative")
 	check(contract.DrainGrace >= 0, "Contract.DrainGrace", contract.DrainGrace, "must not be negative")
 	check(contract.SlowStartRatio > 0 && contract.SlowStartRatio <= 1, "Contract.SlowStartRatio",
-		contract.SlowStartRatio, "must be in 0..1, not 0")
+		contract.SlowStartRatio, "must be greater than 0 and at most 1")
 	check(contract.SlowStartTime >= 0, "Contract.SlowStartTime", contract.SlowStartTime, "must not be negative")
 	check(contract.OverloadMultiple > 0, "Contract.OverloadMultiple", contract.OverloadMultiple, "must be positive")
 	check(contract.OverloadTime >= 0, "Contract.OverloadTime", contract.OverloadTime, "must not be negative")
