--- a/balancer/api.go
+++ b/balancer/api.go
@@ -103,8 +103,8 @@
 // Actions is implemented by the host to carry out the decisions of a balancer. The methods are called from within event
 // methods, in the order in which the actions are to take effect.
 type Actions interface {
-	// Send starts an attempt; a timeout of 0 means until the client's deadline. The attempt must be written no later than
-	// the instant by, or not at all: a later one could have a second effect, or its answer would come too late.
+	// Send starts an attempt; a timeout of 0 means until the client's deadline. The attempt must be written no later
+	// than the instant by, or not at all: a later one could have a second effect, or its answer would come too late.
 	Send(id uint64, endpoint uint32, timeout, by Micros)
 	// Reject gives a final answer that guarantees that a retry is harmless.
 	Reject(id uint64, retryAfter Micros)
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// timeoutRecorder records the timeouts of attempts.
+// timeoutRecorder also records the timeouts of attempts.
 type timeoutRecorder struct {
 	*recorder
 	timeouts []Micros
@@ -28,9 +28,9 @@
 	return b, out
 }
 
-// Each attempt gets the timeout that the request sets, and a retry follows its end while the rules permit one.
+// Each attempt gets the timeout that the request sets. After a timeout a retry follows while the rules permit one.
 func TestAttemptTimeoutIsPassedOn(t *testing.T) {
-	for class, want := range []int{3, 3, 2, 2, 1} { // two endpoints are in a zone and cell
+	for class, want := range []int{3, 3, 2, 2, 1} { // each zone and cell has two endpoints
 		b, out := startWithTimeouts(t, testSettings(), ready(8))
 		in := testRequest(1, uint8(class), 0)
 		in.AttemptTimeout = 100_000
@@ -41,12 +41,12 @@
 			})
 		}
 		if len(out.sends) != want || slices.ContainsFunc(out.timeouts, func(x Micros) bool { return x != 100_000 }) {
-			t.Errorf("class %d: time-outs %v, want %d attempts", class, out.timeouts, want)
+			t.Errorf("class %d: attempts with timeouts %v, want %d attempts", class, out.timeouts, want)
 		}
 	}
 }
 
-// A request may name a budget: its retries spend that one alone.
+// Retries of a request that names a budget are charged to that budget only.
 func TestRetriesSpendNamedBudget(t *testing.T) {
 	s := testSettings()
 	s.Budgets = []RetryBudget{{EarnRatio: 0, Burst: 2}, {EarnRatio: 0.5, Burst: 1}}
@@ -64,10 +64,10 @@
 		return len(out.sends) - n - 1
 	}
 	if got := []int{retries(1, 1), retries(1, 2), retries(0, 3)}; !slices.Equal(got, []int{2, 0, 2}) {
-		t.Errorf("retries %v: want the two of its budget, none, and those of the common one", got)
+		t.Errorf("retries %v, want the two of budget 1, then none, then two from the shared budget", got)
 	}
 	if got := []int{retries(2, 4), retries(2, 5), retries(2, 6)}; !slices.Equal(got, []int{1, 0, 1}) {
-		t.Errorf("retries %v: want one for every second request", got)
+		t.Errorf("retries %v, want one for every second request", got)
 	}
 }
 
@@ -92,11 +92,11 @@
 	in := testRequest(100, 0, second)
 	in.Pool = 64
 	if b.HandleRequest(second, in); !slices.Contains(out.rejected, 100) {
-		t.Error("a request of an empty pool is not rejected")
+		t.Error("a request for a pool without endpoints was not rejected")
 	}
 }
 
-// Classes and budgets may change while requests are in flight: those keep their class.
+// Classes and budgets may change while requests are in flight; those requests keep their class.
 func TestConfigureKeepsRequestsInFlight(t *testing.T) {
 	s := testSettings()
 	s.Budgets = []RetryBudget{{EarnRatio: 0, Burst: 5}}
@@ -114,29 +114,32 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(b.budgets.named, []float64{2, 7}) {
-		t.Errorf("budgets %v: want the balance, within the new burst, and a new one", b.budgets.named)
+		t.Errorf("budget balances %v, want the old balance capped at the new burst, and a full new budget",
+			b.budgets.named)
 	}
 	b.AttemptCompleted(1, Outcome{ID: 1, Endpoint: out.sends[0].endpoint, Status: Timeout, Latency: 1})
 	if len(out.sends) != 2 || !slices.Equal(out.failed, []uint64{1}) {
-		t.Errorf("the request in flight: %v sent, failed %v", out.sends, out.failed)
+		t.Errorf("after a timeout of the write in flight: sends %v, failed %v, want 2 sends and request 1 failed",
+			out.sends, out.failed)
 	}
 	b.HandleRequest(2, testRequest(3, 5, 2))
 	if len(out.sends) != 3 {
-		t.Error("a request of the new class is not sent")
+		t.Error("a request of the new class was not sent")
 	}
-	// Classes of requests in flight must stay; invalid settings change nothing.
+	// Classes that requests in flight may have must stay, and invalid settings change nothing.
 	changed := slices.Clone(next)
 	changed[1].DedupWindow = 1
 	bad := append(slices.Clone(next), Class{Name: "x"})
 	for name, classes := range map[string][]Class{"changed": changed, "fewer": next[:4], "bad": bad} {
 		if err := b.Configure(classes, nil); err == nil || len(b.settings.Classes) != 6 || len(b.settings.Budgets) != 2 {
-			t.Errorf("%s: %v, %d classes and %d budgets", name, err, len(b.settings.Classes), len(b.settings.Budgets))
+			t.Errorf("%s: error %v, %d classes and %d budgets, want an error and no change",
+				name, err, len(b.settings.Classes), len(b.settings.Budgets))
 		}
 	}
 }
 
-// A client's retry with an idempotency key may be of an effect whose key is about to expire: what may have run is
-// neither resent later nor rejected with a promise.
+// A client's retry may repeat an effect whose idempotency key is about to expire. It must neither be resent later nor
+// rejected with the guarantee that another retry is harmless.
 func TestClientRetryIsNotResentAfterWindow(t *testing.T) {
 	for _, test := range []struct {
 		class    uint8
@@ -162,8 +165,8 @@
 	}
 }
 
-// An attempt may be carried out by another endpoint than it was sent to. Failures, and the group in which a repeat
-// is dropped, are those of the endpoint that had the request.
+// The transport may carry out an attempt at another endpoint than the one it was sent to. Failures, and the group in
+// which a repeat is dropped, follow the endpoint that handled the request.
 func TestOutcomeIsAttributedToActualEndpoint(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4)) // 1 and 2 share a cell, as do 3 and 4
 	b.HandleRequest(0, testRequest(1, 3, 0))
@@ -171,33 +174,34 @@
 	other := (to+1)%4 + 1 // of the other cell
 	b.AttemptCompleted(1000, Outcome{ID: 1, Endpoint: other, Status: Error})
 	if len(r.sends) != 2 || b.endpoints.byID[r.sends[1].endpoint].Cell != b.endpoints.byID[other].Cell {
-		t.Errorf("sends %v after endpoint %d had the request: want the next in its cell", r.sends, other)
+		t.Errorf("sends %v after endpoint %d handled the request, want the retry in the cell of that endpoint",
+			r.sends, other)
 	}
 	if b.endpoints.byID[other].failures.ratio == 0 || b.endpoints.byID[to].failures.ratio != 0 {
-		t.Errorf("failure ratios: %v where it was sent, %v where it was carried out",
+		t.Errorf("failure ratio %v at the endpoint it was sent to, want 0; %v at the one that handled it, want more",
 			b.endpoints.byID[to].failures.ratio, b.endpoints.byID[other].failures.ratio)
 	}
 	if n := b.endpoints.byID[to].inFlight; n != 0 && r.sends[1].endpoint != to {
-		t.Errorf("%d are counted in flight at an endpoint that has none", n)
+		t.Errorf("%d attempts counted in flight at an endpoint without any", n)
 	}
 	for _, s := range r.sends[1:] {
 		b.AttemptCompleted(2000, Outcome{ID: 1, Attempt: 1, Endpoint: s.endpoint, Status: OK, Settled: true})
 	}
 	for id, e := range b.endpoints.byID {
 		if e.inFlight != 0 {
-			t.Errorf("endpoint %d: %d in flight at the end", id, e.inFlight)
+			t.Errorf("endpoint %d: %d attempts in flight after all have completed", id, e.inFlight)
 		}
 	}
-	// An unknown endpoint is ignored: the attempt stays where it was.
+	// An unknown endpoint is ignored: the attempt stays attributed to the endpoint that it was sent to.
 	b.HandleRequest(3000, testRequest(2, 0, 3000))
 	last := r.sends[len(r.sends)-1]
 	b.AttemptCompleted(4000, Outcome{ID: 2, Endpoint: 77, Status: OK, Settled: true})
 	if b.endpoints.byID[last.endpoint].inFlight != 0 || b.endpoints.byID[77] != nil {
-		t.Error("an unknown endpoint's outcome leaves the attempt in flight")
+		t.Error("an outcome that names an unknown endpoint left the attempt in flight or created the endpoint")
 	}
 }
 
-// A request may lower the limit of attempts, and cannot raise it.
+// A request may lower the limit of attempts but not raise it.
 func TestRequestMaxAttemptsLowersLimit(t *testing.T) {
 	for _, test := range []struct{ maxAttempts, sends int }{{0, 3}, {1, 1}, {2, 2}, {9, 3}} {
 		b, r := start(t, testSettings(), ready(4))
@@ -216,8 +220,8 @@
 	}
 }
 
-// An attempt made before the request was taken binds it as its own first one does: to the group, to the window, and
-// in what may be promised.
+// An attempt made before the request was received has the same effect as a first attempt of its own: on the group and
+// the window for retries, and on whether the request may be rejected.
 func TestPreviousAttemptBindsRequest(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -240,10 +244,11 @@
 		in.MayHaveRun, in.PreviousAttempt = true, PreviousAttempt{At: now - test.age, Zone: 1, Cell: 1}
 		b.HandleRequest(now, in)
 		if len(r.sends) > 0 != test.sent {
-			t.Errorf("%s: %d sends, want one: %v", test.name, len(r.sends), test.sent)
+			t.Errorf("%s: %d sends, want any: %v", test.name, len(r.sends), test.sent)
 		}
 		if test.sent && test.class >= 2 && b.endpoints.byID[r.sends[0].endpoint].Cell != 1 {
-			t.Errorf("%s: sent to endpoint %d, outside the group of the first", test.name, r.sends[0].endpoint)
+			t.Errorf("%s: sent to endpoint %d, outside the cell of the previous attempt",
+				test.name, r.sends[0].endpoint)
 		}
 		for i := 0; i < len(r.sends); i++ {
 			b.AttemptCompleted(now, Outcome{ID: 1, Attempt: i, Endpoint: r.sends[i].endpoint, Status: Full})
@@ -255,7 +260,7 @@
 	}
 }
 
-// Each kind of idempotency against each outcome of the first attempt.
+// Checks every kind of idempotency with every outcome of the first attempt.
 func TestRetryFollowsIdempotencyAndOutcome(t *testing.T) {
 	neverRan := map[Status]bool{Full: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
@@ -269,13 +274,14 @@
 			switch kind := s.Classes[class]; {
 			case kind.Idempotency == NotIdempotent && !neverRan[status]:
 				if sends != 1 || len(r.failed) != 1 {
-					t.Errorf("not idempotent, status %d: %d sends, %d failed", status, sends, len(r.failed))
+					t.Errorf("not idempotent, status %d: %d sends, %d failed, want 1 and 1",
+						status, sends, len(r.failed))
 				}
 			case sends != 2:
-				t.Errorf("class %d status %d: %d sends, 2 wanted", class, status, sends)
+				t.Errorf("class %d, status %d: %d sends, want 2", class, status, sends)
 			case kind.Idempotency == IdempotentWithKey && kind.Group != GroupAll && !neverRan[status]:
 				if (r.sends[0].endpoint-1)/2 != (r.sends[1].endpoint-1)/2 {
-					t.Errorf("class %d status %d left its group", class, status)
+					t.Errorf("class %d, status %d: the retry left the group of the first attempt", class, status)
 				}
 			}
 		}
@@ -290,7 +296,8 @@
 	first := r.sends[0].endpoint
 	b.AttemptCompleted(1000+s.Classes[3].DedupWindow, Outcome{ID: 1, Endpoint: first, Status: Reset})
 	if len(r.sends) != 1 || len(r.failed) != 1 || len(r.rejected) != 0 {
-		t.Errorf("after the window: sends %v, failed %v, rejected %v", r.sends, r.failed, r.rejected)
+		t.Errorf("after the deduplication window: sends %v, failed %v, rejected %v, want one send and one failure",
+			r.sends, r.failed, r.rejected)
 	}
 }
 
@@ -300,16 +307,16 @@
 	token := b.ledger.requests[1].timerToken
 	b.TimerFired(1000+second, token)
 	if len(r.failed) != 1 || len(r.cancels) != 1 {
-		t.Fatalf("failed %v, cancelled %v", r.failed, r.cancels)
+		t.Fatalf("at the deadline: failed %v, cancelled %v, want one of each", r.failed, r.cancels)
 	}
 	b.AttemptCompleted(2*second, Outcome{ID: 1, Endpoint: 1, Status: OK, Latency: second, Settled: true})
 	if b.endpoints.list[0].breaker.accepts != 1 || b.endpoints.list[0].inFlight != 0 || len(b.ledger.requests) != 0 {
-		t.Error("a late outcome must still update the statistics")
+		t.Error("a late outcome did not update the statistics, or the request was not released")
 	}
 	b.HandleRequest(3*second, testRequest(2, 0, 3*second))
-	b.TimerFired(3*second, token) // of the finished request, whose slot is reused
+	b.TimerFired(3*second, token) // of the finished request, whose slot was reused
 	if len(r.failed) != 1 || len(r.rejected) != 0 {
-		t.Error("an old timer ended another request")
+		t.Error("an outdated timer ended another request")
 	}
 }
 
@@ -319,17 +326,17 @@
 	b.ResponseStarted(2000, 1, 0, 1000)
 	b.TimerFired(2*second, b.ledger.requests[1].timerToken)
 	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
-		t.Error("a stream that began was ended or hedged")
+		t.Error("a request whose answer had started was ended or hedged")
 	}
 	b.AttemptCompleted(3*second, Outcome{
 		ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, Settled: true,
 	})
 	if len(b.ledger.requests) != 0 {
-		t.Error("the record was not released")
+		t.Error("the record of the completed request was not released")
 	}
 }
 
-// Whatever is unusual about a request, it is taken once and answered once.
+// A request with unusual values gets exactly one final answer.
 func TestUnusualRequestsAreAnsweredOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		list  []Endpoint
@@ -355,12 +362,12 @@
 			}
 		}
 		if n := len(r.rejected) + len(r.failed); n != 1 || len(r.sends) > 1 {
-			t.Errorf("%s: %d final answers, %d sends", name, n, len(r.sends))
+			t.Errorf("%s: %d final answers, %d sends, want 1 answer and at most 1 send", name, n, len(r.sends))
 		}
 	}
 }
 
-// A host that is about to end has each request answered, as at its deadline.
+// A host that shuts down gives each open request its final answer, in the same way as at its deadline.
 func TestExpireAnswersEachRequestOnce(t *testing.T) {
 	s := testSettings()
 	b, r := start(t, s, ready(4))
@@ -373,6 +380,7 @@
 	}
 	b.Expire(2002, 99) // unknown
 	if !slices.Equal(r.rejected, []uint64{1, 2}) || !slices.Equal(r.failed, []uint64{3, 4, 5}) {
-		t.Errorf("rejected %v, failed %v; want rejections where a retry is safe, else failures", r.rejected, r.failed)
+		t.Errorf("rejected %v, failed %v; want rejections where a retry is safe and failures elsewhere",
+			r.rejected, r.failed)
 	}
 }
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -51,17 +51,17 @@
 		k.record(100*second, 0, 1)
 	}
 	if k.errorChance(109*second) == 0 {
-		t.Error("failures of nine seconds ago are forgotten")
+		t.Error("failures of nine seconds ago are no longer counted")
 	}
 	if got := k.errorChance(110*second + 1); got != 0 || k.requests != 0 {
-		t.Errorf("after the window: chance %v, %d requests", got, k.requests)
+		t.Errorf("after the window: chance %v, %d requests, want 0 and 0", got, k.requests)
 	}
 	for range 100 {
 		k.record(200*second, 0, 1)
 	}
 	k.errorChance(500 * second)
 	if k.requests != 0 {
-		t.Errorf("after a long pause: %d requests", k.requests)
+		t.Errorf("after a pause longer than the window: %d requests, want 0", k.requests)
 	}
 }
 
@@ -69,15 +69,15 @@
 	var k breaker
 	k.recordLatency(100)
 	if k.baseline != 100 || k.current != 100 {
-		t.Fatalf("first: base %v current %v", k.baseline, k.current)
+		t.Fatalf("first sample: baseline %v, current %v, want 100 and 100", k.baseline, k.current)
 	}
 	k.recordLatency(60) // falls by a quarter of the difference; current (60+3*100)/4
 	if !almostEqual(k.baseline, 90) || !almostEqual(k.current, 90) {
-		t.Fatalf("fall: base %v current %v", k.baseline, k.current)
+		t.Fatalf("lower sample: baseline %v, current %v, want 90 and 90", k.baseline, k.current)
 	}
 	k.recordLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
 	if !almostEqual(k.baseline, 91) || !almostEqual(k.current, 115) {
-		t.Fatalf("rise: base %v current %v", k.baseline, k.current)
+		t.Fatalf("higher sample: baseline %v, current %v, want 91 and 115", k.baseline, k.current)
 	}
 }
 
@@ -110,7 +110,7 @@
 	}
 	r := &request{}
 	if !b.breakerAllows(now, r, e) {
-		t.Fatal("the first trial is rejected")
+		t.Fatal("the first trial was rejected")
 	}
 	passed := 0
 	for range 200 {
@@ -119,14 +119,14 @@
 		}
 	}
 	if passed > 20 {
-		t.Errorf("%d of 200 admitted to an endpoint that fails all", passed)
+		t.Errorf("%d of 200 requests admitted to an endpoint that fails all requests, want at most 20", passed)
 	}
 	if !b.breakerAllows(now+trialPause+1001, r, e) {
-		t.Error("no trial after the pause")
+		t.Error("no trial was admitted after the pause")
 	}
 }
 
-// When all endpoints fail at once, ejection must not leave the last few with all traffic.
+// When all endpoints fail at once, ejection must not direct all traffic to the last few.
 func TestAllEndpointsFailingKeepsTrafficSpread(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	sends := map[uint32]int{}
@@ -139,14 +139,14 @@
 		}
 	}
 	if !b.endpoints.list[0].ejected(41_000) {
-		t.Fatal("an endpoint that fails all is not ejected")
+		t.Fatal("an endpoint that fails all requests was not ejected")
 	}
 	for e, n := range sends {
 		if n > 3*len(r.sends)/8 {
-			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.sends))
+			t.Errorf("endpoint %d got %d of %d sends, more than three times an equal part", e, n, len(r.sends))
 		}
 	}
 	if b.endpoints.list[0].ejected(60 * second) {
-		t.Error("an ejection never ends")
+		t.Error("the endpoint is still ejected a minute later")
 	}
 }
--- a/balancer/decision_bench_test.go
+++ b/balancer/decision_bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// discard is a host that carries nothing out; it remembers the endpoint of the latest attempt.
+// discard is a host that carries out no actions and records only the endpoint of the latest attempt.
 type discard struct{ endpoint uint32 }
 
 func (d *discard) Send(_ uint64, endpoint uint32, _, _ Micros) { d.endpoint = endpoint }
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -8,13 +8,13 @@
 	_ "pinedale/internal/standin/seeds"
 )
 
-// recount is what the groups of an endpoint set come to by a walk over its list.
+// recount holds the sizes and weights of all groups, computed from the list of endpoints.
 type recount map[groupKey]struct {
 	warm, slowStart int
 	weight          int64
 }
 
-// readyKey stands for endpointSet.ready in a recount.
+// readyKey is the key of endpointSet.ready in a recount.
 var readyKey = groupKey{kind: 255}
 
 func (c recount) add(key groupKey, e *endpoint, slowStart bool) {
@@ -51,13 +51,13 @@
 	return counted
 }
 
-// checkGroups compares the kept sums with a recount, and each endpoint's places with what stands there.
+// checkGroups compares the groups with a recount, and the positions recorded in each endpoint with the lists.
 func checkGroups(t *rapid.T, b *Balancer, now Micros) {
 	counted := recountGroups(b, now)
 	compare := func(key groupKey, g *endpointGroup) {
 		want := counted[key]
 		if len(g.warm) != want.warm || len(g.slowStart) != want.slowStart || g.weight != want.weight {
-			t.Fatalf("group %v: %d warm, %d in slow start, weight %d; recounted %+v", key, len(g.warm),
+			t.Fatalf("group %v: %d warm, %d in slow start, weight %d; the list has %+v", key, len(g.warm),
 				len(g.slowStart), g.weight, want)
 		}
 		delete(counted, key)
@@ -67,18 +67,19 @@
 		compare(key, g)
 	}
 	if len(counted) > 0 {
-		t.Fatalf("groups that are not kept: %+v", counted)
+		t.Fatalf("groups without a record in the set: %+v", counted)
 	}
 	for i, e := range b.endpoints.list {
 		if e.listIndex != i || b.endpoints.byID[e.ID] != e {
-			t.Fatalf("endpoint %d at %d of the list has index %d", e.ID, i, e.listIndex)
+			t.Fatalf("endpoint %d at position %d of the list has index %d, or is not found by ID",
+				e.ID, i, e.listIndex)
 		}
 		if e.State == Removed && e.inFlight == 0 {
-			t.Fatalf("endpoint %d is removed and still listed", e.ID)
+			t.Fatalf("endpoint %d is removed and has nothing in flight but is still listed", e.ID)
 		}
 		for _, m := range e.memberships {
 			if members := *m.group.part(e.slowStart.active); m.index >= len(members) || members[m.index] != e {
-				t.Fatalf("endpoint %d is not at its place %d", e.ID, m.index)
+				t.Fatalf("endpoint %d is not at its recorded position %d of a group", e.ID, m.index)
 			}
 		}
 	}
@@ -88,7 +89,7 @@
 	pooled := map[*endpoint]bool{}
 	for _, e := range b.probes.pool {
 		if pooled[e] || !e.pooled {
-			t.Fatalf("endpoint %d is twice in the pool, or not marked", e.ID)
+			t.Fatalf("endpoint %d is in the probe pool twice or not marked as pooled", e.ID)
 		}
 		pooled[e] = true
 	}
@@ -106,7 +107,7 @@
 	}
 }
 
-// Kept sums equal a recount in every order of joining, draining, restart, end of slow start and removal.
+// The groups equal a recount after any sequence of joining, draining, restarts, ends of slow start and removals.
 func TestGroupSumsEqualRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
@@ -176,17 +177,17 @@
 		perWeight[owner.Weight]++
 	}
 	if ratio := float64(perWeight[2]) / float64(perWeight[1]); ratio < 1.85 || ratio > 2.15 {
-		t.Errorf("endpoints of weight 2 own %.2f times the keys of those of weight 1", ratio)
+		t.Errorf("endpoints of weight 2 own %.2f times as many keys as those of weight 1, want about 2", ratio)
 	}
 	for e, n := range owned {
 		mean := keys * float64(e.Weight) / 900
 		if float64(n) < mean/2 || float64(n) > mean*2 {
-			t.Errorf("endpoint %d of weight %g owns %d keys, %.0f in the mean", e.ID, e.Weight, n, mean)
+			t.Errorf("endpoint %d of weight %g owns %d keys, want about %.0f", e.ID, e.Weight, n, mean)
 		}
 	}
 }
 
-// A change of one endpoint moves few keys but its own.
+// When one endpoint leaves, few keys move other than its own.
 func TestKeyOwnersStayWhereOneEndpointLeaves(t *testing.T) {
 	s := testSettings()
 	s.KeyAffinity = true
@@ -204,7 +205,7 @@
 		}
 	}
 	if mean := keys / 600; moved > 4*mean {
-		t.Errorf("%d of %d keys have another owner, %d in the mean were those of the endpoint", moved, keys, mean)
+		t.Errorf("%d of %d keys have another owner; an endpoint owns %d on average", moved, keys, mean)
 	}
 }
 
@@ -214,10 +215,10 @@
 	b, r := start(t, s, scaleFleet(3200, 0, 0))
 	first := len(r.probes)
 	if first > maxNewProbes {
-		t.Errorf("%d probes at once for a list of 3200, at most %d are allowed", first, maxNewProbes)
+		t.Errorf("%d probes at once for a list of 3200 endpoints, want at most %d", first, maxNewProbes)
 	}
 	b.UpdateEndpoints(second, ListDelta, []Endpoint{{ID: 4000, Weight: 1}, {ID: 4001, Weight: 1}, {ID: 4002, Weight: 1}})
 	if n := len(r.probes) - first; n > 1 {
-		t.Errorf("%d more probes a second later without traffic, at most 1 is allowed", n)
+		t.Errorf("%d more probes one second later without traffic, want at most 1", n)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"pinedale/balancer"
 )
 
-// host prints what a balancer asks for. A sidecar carries it out.
+// host prints the actions of a balancer. A sidecar would carry them out.
 type host struct{ sent []uint32 }
 
 func (h *host) Send(id uint64, endpoint uint32, timeout, by balancer.Micros) {
@@ -43,8 +43,8 @@
 	}
 	b.Start(0)
 	b.UpdateEndpoints(0, balancer.ListCached, []balancer.Endpoint{{ID: 7}, {ID: 8}})
-	b.ProbeCompleted(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 holds two requests,
-	b.ProbeCompleted(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 none
+	b.ProbeCompleted(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 has two requests in flight
+	b.ProbeCompleted(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 has none
 
 	b.HandleRequest(2_000, balancer.Request{ID: 1, Deadline: 802_000})
 	b.AttemptCompleted(3_000, balancer.Outcome{ID: 1, Endpoint: 8, Status: balancer.Error, Latency: 1_000})
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A hedge is sent after the delay that the request sets, to another endpoint, while repeats are dropped and no
-// answer has come.
+// A hedge is sent to another endpoint after the delay that the request sets, if repeats are dropped or harmless and
+// no answer has been received.
 func TestHedgeAfterRequestedDelay(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -35,14 +35,14 @@
 		b.HandleRequest(0, in)
 		token := b.ledger.requests[1].timerToken
 		if armed := slices.Contains(out.delays, test.hedgeDelay); test.hedgeDelay > 0 && !armed {
-			t.Errorf("%s: no timer for the hedge: %v", test.name, out.delays)
+			t.Errorf("%s: no timer for the hedge in %v", test.name, out.delays)
 		}
 		if test.answered {
 			b.AttemptCompleted(test.hedgeDelay-1, Outcome{
 				ID: 1, Endpoint: out.sends[0].endpoint, Status: OK, Latency: test.hedgeDelay - 1, Settled: true,
 			})
 		}
-		b.TimerFired(max(test.hedgeDelay, 300_000)-100_000, token) // too early: another timer
+		b.TimerFired(max(test.hedgeDelay, 300_000)-100_000, token) // another timer, early for a delay above 200 ms
 		b.TimerFired(max(test.hedgeDelay, 300_000), token)
 		if got := len(out.sends) > 1; got != test.wantHedge {
 			t.Errorf("%s: %d sends", test.name, len(out.sends))
@@ -52,13 +52,13 @@
 	}
 }
 
-// The latency quantile of the class stands in for a delay that the request does not set.
+// If the request sets no delay, the latency quantile of its class is used.
 func TestHedgeAtLatencyQuantile(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].HedgeQuantile = 0.9
 	b, out := startWithTimeouts(t, s, ready(2))
 	if got := b.hedgeDelay(&request{Request: Request{Class: 0}}); got != s.Classes[0].LatencyObjective {
-		t.Errorf("after %d before anything is known, want the latency objective", got)
+		t.Errorf("hedge delay %d µs before any sample, want the latency objective", got)
 	}
 	rng := randomSource(3)
 	now := Micros(0)
@@ -75,14 +75,14 @@
 		})
 	}
 	if got := b.hedgeDelay(&request{Request: Request{Class: 0}}); math.Abs(float64(got-90_000)) > 12_000 {
-		t.Errorf("after %d, want about 90000", got)
+		t.Errorf("hedge delay %d µs, want about 90000", got)
 	}
 	if got := b.hedgeDelay(&request{Request: Request{Class: 1}}); got != 0 {
-		t.Errorf("a class without a quantile: after %d", got)
+		t.Errorf("hedge delay %d µs for a class without a quantile, want 0", got)
 	}
 }
 
-// A request that must not be hedged is not.
+// A request with NoHedging is not hedged even if its attempt seems dropped.
 func TestNoHedgingDisablesHedges(t *testing.T) {
 	for _, noHedging := range []bool{false, true} {
 		b, r := start(t, testSettings(), ready(4))
@@ -94,12 +94,13 @@
 		a.endpoint.lastAnsweredSentAt = 1 // overtaken by a later one
 		b.TimerFired(a.overdueAt, b.ledger.requests[1].timerToken)
 		if hedged := len(r.sends) > 1; hedged == noHedging {
-			t.Errorf("hedging declined %v: %d sends", noHedging, len(r.sends))
+			t.Errorf("NoHedging %v: %d sends", noHedging, len(r.sends))
 		}
 	}
 }
 
-// A hedge doubles the work of an endpoint that is slow because it is overloaded.
+// A pending attempt is not hedged unless attempts are being dropped: a hedge would double the work of an endpoint
+// that is slow because it is overloaded.
 func TestNoHedgeWhereNotPermitted(t *testing.T) {
 	b, r := start(t, testSettings(), ready(3))
 	b.HandleRequest(1000, testRequest(1, 0, 1000))
@@ -108,13 +109,12 @@
 	}
 	b.TimerFired(900_000, r.timers[len(r.timers)-1])
 	if len(r.sends) != 1 {
-		t.Errorf("%d sends while the first is pending", len(r.sends))
+		t.Errorf("%d sends while the first attempt is pending, want 1", len(r.sends))
 	}
 }
 
-// Where endpoints drop requests and answer the rest in time, an attempt that a later one overtook is dropped.
-// It is hedged elsewhere as far as its class permits; the first answer ends the request and cancels the other
-// attempt.
+// If endpoints drop some requests and answer the others in time, an attempt that a later one overtook was dropped. It
+// is hedged elsewhere if its class permits. The first answer ends the request and cancels the other attempts.
 func TestDroppedAttemptIsHedgedElsewhere(t *testing.T) {
 	for class, hedges := range []int{1, 1, 1, 1, 0} {
 		b, r := start(t, testSettings(), ready(4))
@@ -133,9 +133,10 @@
 		second := r.sends[1]
 		cells := [2]uint16{b.endpoints.byID[first.endpoint].Cell, b.endpoints.byID[second.endpoint].Cell}
 		if second.endpoint == first.endpoint || class == 3 && cells[0] != cells[1] {
-			t.Errorf("class %d: the hedge went to %d after %d", class, second.endpoint, first.endpoint)
+			t.Errorf("class %d: the hedge went to endpoint %d after the first attempt at %d",
+				class, second.endpoint, first.endpoint)
 		}
-		// The hedge fails: the first may still be answered, so no final answer yet.
+		// The hedge fails, but the first attempt may still be answered, so there must be no final answer yet.
 		b.AttemptCompleted(510_000, Outcome{
 			ID: 1, Attempt: 1, Endpoint: second.endpoint, Status: Error, Latency: 1000,
 		})
@@ -147,10 +148,10 @@
 			ID: 1, Attempt: 0, Endpoint: first.endpoint, Status: OK, Latency: 519_000, Settled: true,
 		})
 		for i := 2; i < len(r.sends); i++ {
-			wantCancels++ // a third attempt is cancelled, too
+			wantCancels++ // a third attempt is cancelled too
 		}
 		if len(r.cancels) != wantCancels || b.ledger.open != 0 {
-			t.Errorf("class %d: %d attempts cancelled, want %d; %d requests open",
+			t.Errorf("class %d: %d attempts cancelled, want %d; %d requests open, want 0",
 				class, len(r.cancels), wantCancels, b.ledger.open)
 		}
 	}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testSettings are plain settings that tests change as they need.
+// testSettings returns basic settings that tests change as needed.
 func testSettings() Settings {
 	s := Settings{
 		Balancers: 2, Zones: 1, Kinds: 1, Tick: 5000,
@@ -38,7 +38,7 @@
 	endpoint uint32
 }
 
-// recorder records what a balancer asks of its host.
+// recorder is a host that records the actions of a balancer.
 type recorder struct {
 	sends    []sent
 	rejected []uint64
@@ -64,7 +64,7 @@
 	r.logs = append(r.logs, strings.TrimSpace(event+" "+fmt.Sprintln(attributes...)))
 }
 
-// ready returns n ready endpoints with ids from 1; pairs share a cell and a zone.
+// ready returns n ready endpoints with IDs from 1. Each pair shares a cell and a zone.
 func ready(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -107,7 +107,7 @@
 		_, err := New(s, 1, &recorder{})
 		var bad *SettingError
 		if !errors.As(err, &bad) || bad.Key != test.key {
-			t.Errorf("want an error for %s, got %v", test.key, err)
+			t.Errorf("New with an invalid %s returned error %v, want a *SettingError for that key", test.key, err)
 		}
 	}
 }
--- a/balancer/keys_test.go
+++ b/balancer/keys_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// keySettings has one zone, no probes, and endpoints that cache by key.
+// keySettings returns settings with key affinity and without probes.
 func keySettings() Settings {
 	s := testSettings()
 	s.KeyAffinity, s.Limits.Probes = true, false
 	return s
 }
 
-// inOneZone returns n ready endpoints of zone 0, with StableIDs that do not depend on the balancer.
+// inOneZone returns n ready endpoints of zone 0 whose StableIDs do not depend on firstID.
 func inOneZone(n int, firstID uint32) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -18,8 +18,8 @@
 	return list
 }
 
-// serveByKey sends n requests with keys in turn and answers each at once: after cachedLatency where the endpoint
-// had the key within memory, else after uncachedLatency. It returns how many were cached.
+// serveByKey sends n requests, with keys in turn, and answers each at once: after cachedLatency if the endpoint was
+// sent the key within memory, otherwise after uncachedLatency. It returns the number of requests whose key was cached.
 func serveByKey(b *Balancer, r *recorder, n, keys int, uncachedLatency, cachedLatency, memory Micros) (hits int) {
 	type cacheEntry struct {
 		endpoint uint32
@@ -46,23 +46,23 @@
 	return hits
 }
 
-// Requests go where their key is cached. Where nothing is saved, that is learned.
+// Requests are sent to endpoints that have their key cached. If caching saves nothing, the work ratios show that.
 func TestKeysAreSentWhereCached(t *testing.T) {
 	b, r := start(t, keySettings(), inOneZone(8, 1))
 	if hits := serveByKey(b, r, 2000, 12, 80_000, 32_000, 20*second); hits < 1800 {
-		t.Errorf("%d of 2000 requests went where their key was cached, want 1800", hits)
+		t.Errorf("%d of 2000 requests went to an endpoint with their key cached, want at least 1800", hits)
 	}
 	for range 3000 {
 		b.keys.learn(fleetOwner, 1)
 		b.keys.learn(zoneOwner, 0.01)
 	}
 	if nothing, all := b.keys.workRatio[fleetOwner], b.keys.workRatio[zoneOwner]; nothing < 0.9 || all != minWorkRatio {
-		t.Errorf("work ratio %.2f where nothing is saved, %.2f where all is", nothing, all)
+		t.Errorf("work ratio %.2f where caching saves nothing, %.2f where it saves all work", nothing, all)
 	}
 	b.keys.learn(notCached, 0.1)
 	b.keys.learn(0, 0.1)
 	if b.keys.workRatio[notCached] != 1 || b.keys.workRatio[0] != 1 {
-		t.Errorf("the reference has changed: %v", b.keys.workRatio)
+		t.Errorf("the reference work ratios have changed: %v, want 1", b.keys.workRatio)
 	}
 }
 
@@ -74,21 +74,21 @@
 	currentAffinity := func() affinity {
 		next := &request{Request: Request{Key: 1}}
 		next.key = b.keyRecord(2*second, next)
-		next.key.owners = [2]*endpoint{} // by what was sent alone
+		next.key.owners = [2]*endpoint{} // so that only the recorded sends count
 		return b.affinityOf(2*second, next, b.endpoints.list[0])
 	}
 	if got := currentAffinity(); got == notCached {
-		t.Fatalf("before the restart: %+v", got)
+		t.Fatalf("affinity before the restart is %+v, want one with the key cached", got)
 	}
 	list[0].StartTime = 2 * second
 	b.UpdateEndpoints(2*second, ListDelta, list)
 	if got := currentAffinity(); got != notCached {
-		t.Errorf("after the restart: %+v", got)
+		t.Errorf("affinity after the restart is %+v, want notCached", got)
 	}
 }
 
-// All balancers choose the same endpoint as a key's owner, whatever its ID, and the removal of one endpoint moves
-// its keys alone.
+// All balancers choose the same owner for a key even if they use different IDs, and the removal of an endpoint moves
+// only its own keys.
 func TestKeyOwnersAgreeAcrossBalancers(t *testing.T) {
 	first, _ := start(t, keySettings(), inOneZone(10, 1))
 	other, _ := start(t, keySettings(), inOneZone(10, 501))
@@ -99,13 +99,13 @@
 	for key := uint64(1); key <= 5000; key++ {
 		a, b := first.keyOwners(key)[1], other.keyOwners(key)[1]
 		if a.StableID != b.StableID {
-			t.Fatalf("key %d: %d and %d", key, a.StableID, b.StableID)
+			t.Fatalf("key %d: balancers chose different owners, %d and %d", key, a.StableID, b.StableID)
 		}
 		owners[key] = a.StableID
 		keys[a.StableID]++
 	}
 	for stableID, n := range keys {
-		if n < 400 || n > 600 { // 500 is even; the hash has no seed, so that this is no chance
+		if n < 400 || n > 600 { // 500 on average; the hash has no seed, so the result is deterministic
 			t.Errorf("endpoint %d owns %d of 5000 keys", stableID, n)
 		}
 	}
@@ -114,12 +114,12 @@
 		if current := first.keyOwners(key)[1].StableID; current != previous && previous != without[3].StableID {
 			t.Errorf("key %d moved from %d to %d", key, previous, current)
 		} else if current == without[3].StableID {
-			t.Errorf("key %d stays at the removed endpoint", key)
+			t.Errorf("key %d is still owned by the removed endpoint", key)
 		}
 	}
 }
 
-// An owner at capacity is not waited for: an idle endpoint without the key serves it sooner.
+// If the owner of a key is at capacity, an idle endpoint without the key serves it sooner.
 func TestPopularKeyUsesAllEndpoints(t *testing.T) {
 	b, r := start(t, keySettings(), inOneZone(4, 1))
 	used := map[uint32]int{}
@@ -130,12 +130,12 @@
 		used[r.sends[len(r.sends)-1].endpoint]++
 	}
 	if len(used) < 4 {
-		t.Errorf("24 requests at once for one key went to %v, want all four", used)
+		t.Errorf("24 simultaneous requests for one key went to endpoints %v, want all four", used)
 	}
 }
 
-// A key has an owner in each zone. While the owner of the fleet costs more than it saves, requests stay in their
-// zone, and leave it once that is overloaded.
+// A key has an owner in each zone. Requests stay in their zone while the owner in the fleet costs more than it saves,
+// and leave the zone once it is overloaded.
 func TestKeyHasOwnerInEachZone(t *testing.T) {
 	s := keySettings()
 	s.Prices.CrossZone = 0.1
@@ -148,7 +148,7 @@
 		owners := b.keyOwners(key)
 		owner, zone := owners[1], owners[0]
 		if zone.Zone != 0 || owner.Zone == 0 && owner != zone {
-			t.Fatalf("key %d: owners %d and %d", key, owner.ID, zone.ID)
+			t.Fatalf("key %d: owner %d in the fleet and %d in zone 0 do not match", key, owner.ID, zone.ID)
 		}
 		if owner.Zone == 0 {
 			continue
@@ -157,7 +157,7 @@
 		in.Key = key
 		b.HandleRequest(second, in)
 		if to := r.sends[len(r.sends)-1].endpoint; to != zone.ID {
-			t.Fatalf("key %d went to %d, its owner in the zone is %d", key, to, zone.ID)
+			t.Fatalf("key %d went to endpoint %d, want its owner in the zone, %d", key, to, zone.ID)
 		}
 		b.AttemptCompleted(second, Outcome{ID: key, Endpoint: zone.ID, Status: OK, Latency: 80_000, Settled: true})
 	}
@@ -174,20 +174,19 @@
 		}
 	}
 	if crossed < 15 {
-		t.Errorf("%d of 60 crossed from an overloaded zone to an idle one, want 15 at least", crossed)
+		t.Errorf("%d of 60 requests left an overloaded zone for an idle one, want at least 15", crossed)
 	}
 }
 
-// The number of key records is bounded.
 func TestKeyRecordsAreBounded(t *testing.T) {
 	b, r := start(t, keySettings(), inOneZone(4, 1))
 	serveByKey(b, r, 3*maxKeys, 3*maxKeys, 1000, 1000, second)
 	if n := len(b.keys.current) + len(b.keys.previous); n > 2*maxKeys {
-		t.Errorf("%d key records, at most %d", n, 2*maxKeys)
+		t.Errorf("%d key records, want at most %d", n, 2*maxKeys)
 	}
 }
 
-// Requests without key, and deployments without key affinity, need no records.
+// Requests without key, and balancers without key affinity, create no key records.
 func TestNoRecordWithoutKey(t *testing.T) {
 	s := testSettings()
 	b, r := start(t, s, inOneZone(4, 1))
@@ -195,6 +194,7 @@
 	keyed, r := start(t, keySettings(), inOneZone(4, 1))
 	keyed.HandleRequest(second, testRequest(1, 0, second))
 	if len(b.keys.current) != 0 || len(keyed.keys.current) != 0 || len(r.sends) != 1 {
-		t.Errorf("%d and %d key records, %d sends", len(b.keys.current), len(keyed.keys.current), len(r.sends))
+		t.Errorf("%d and %d key records, %d sends, want 0, 0 and 1",
+			len(b.keys.current), len(keyed.keys.current), len(r.sends))
 	}
 }
--- a/balancer/learning_test.go
+++ b/balancer/learning_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// When the whole fleet slows down, an endpoint known as fast must be expected to be slow, too, and to be fast again
-// soon after the recovery.
+// When the whole fleet slows down, an endpoint known as fast must be expected to be slow too, and to be fast again soon
+// after the recovery.
 func TestFleetWideSlowdownIsLearnedQuickly(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
 	serve := func(from Micros, n int, latencyFactor float64) {
 		for i := range n {
 			now := from + 1000*Micros(i)
 			id := uint64(now)
-			b.ProbeCompleted(now, 1, OK, 500, []float32{9}) // others are better
+			b.ProbeCompleted(now, 1, OK, 500, []float32{9}) // so that requests go to the other endpoints
 			b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // rejected
@@ -29,15 +29,17 @@
 	before := predictIdle(60_000)
 	serve(100_000, 15, 4)
 	if slow := predictIdle(120_000); slow < 2*before {
-		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", before, slow)
+		t.Errorf("predicted latency %v before, %v after 15 outcomes of four times the prediction, want at least twice",
+			before, slow)
 	}
 	serve(200_000, 48, 0.5)
 	if after := predictIdle(250_000); after > 1.2*before {
-		t.Errorf("expected %v before, %v after the recovery", before, after)
+		t.Errorf("predicted latency %v before the slowdown, %v after the recovery, want at most 1.2 times",
+			before, after)
 	}
 }
 
-// A hint must count for as much as it says, or idle endpoints reject what is only hinted to be large.
+// Hints must have as much effect as they are reliable, or idle endpoints reject requests only because of a large hint.
 func TestHintExponentIsLearned(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -64,8 +66,8 @@
 	}
 }
 
-// A balancer of a large fleet uses an endpoint once in many seconds: what it has learned of some machines shows how
-// fast the others of their kind are, within a second of its start.
+// A balancer of a large fleet uses each endpoint only once in many seconds. Within a second of its start, the outcomes
+// at some machines must show how fast the others of their kind are.
 func TestSlownessOfUnusedEndpointsFollowsKind(t *testing.T) {
 	s := testSettings()
 	s.Balancers, s.Kinds, s.Limits.Probes = 300, 3, false
@@ -76,7 +78,7 @@
 	b, r := start(t, s, list)
 	latencies := [3]Micros{50_000, 80_000, 150_000}
 	now := second
-	for id := range uint64(12) { // a second of its traffic
+	for id := range uint64(12) { // about a second of traffic
 		b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 80_000, HasWorkHint: true})
 		at := r.sends[len(r.sends)-1].endpoint
 		now += 80_000
@@ -93,7 +95,7 @@
 		}
 	}
 	if slowness[2] < 1.5*slowness[0] || slowness[1] < slowness[0] {
-		t.Errorf("slowness by kind %.2f, of machines that take 50, 80 and 150 ms", slowness)
+		t.Errorf("slowness by kind %.2f, want it to rise with the service times of 50, 80 and 150 ms", slowness)
 	}
 	before := len(r.sends)
 	for id := range uint64(300) {
@@ -104,11 +106,12 @@
 		slow += int(indicator(x.endpoint%3 == 0))
 	}
 	if n := len(r.sends) - before; n < 250 || slow > n/4 {
-		t.Errorf("%d of %d sends went to the slow kind", slow, n)
+		t.Errorf("%d of %d requests were sent to the slow kind, want at least 250 requests and at most a quarter",
+			slow, n)
 	}
 }
 
-// A sample of a rarely used endpoint has more weight than one of an endpoint that is used all the time.
+// A sample from a rarely used endpoint weighs more than one from an endpoint in constant use.
 func TestRarelyUsedEndpointIsLearnedFaster(t *testing.T) {
 	learned := func(gap Micros) float64 {
 		s := testSettings()
@@ -132,13 +135,13 @@
 	}
 	often, seldom := learned(0), learned(2*slownessLifetime)
 	if often > 1.2 || seldom < 1.5 {
-		t.Errorf("after one answer that took five times as long slowness is %.2f times as high, and %.2f of one rarely used",
+		t.Errorf("one answer of five times the latency changed slowness %.2f-fold in constant use and %.2f-fold in rare use",
 			often, seldom)
 	}
 }
 
 // Answers show that the fleet has become busy before the few probes do, so that an endpoint known to be idle is
-// preferred. Noise alone does not make the fleet look busy, and without probes nothing is inferred.
+// preferred. Random variation alone does not make the fleet look busy, and without probes nothing is inferred.
 func TestResponsesUpdateBaselineLoad(t *testing.T) {
 	simulateResponses := func(probed bool, answers int, slower, noise float64) (baselineLoad float64) {
 		b, r := start(t, testSettings(), ready(40))
@@ -168,18 +171,19 @@
 	}
 	calm, busy := simulateResponses(true, 15, 1, 0), simulateResponses(true, 15, 3, 0)
 	if busy < calm+0.75 {
-		t.Errorf("baseline load %.2f, and %.2f once answers take three times as long", calm, busy)
+		t.Errorf("baseline load %.2f, %.2f after answers take three times as long, want a rise of at least 0.75",
+			calm, busy)
 	}
 	if long := simulateResponses(true, 5000, 1, 0.9); long > maxBaselineSample/2 {
-		t.Errorf("baseline load %.2f by noise alone", long)
+		t.Errorf("baseline load %.2f from random variation alone", long)
 	}
 	if none := simulateResponses(false, 15, 3, 0); none != 0 {
-		t.Errorf("baseline load %.2f without probes", none)
+		t.Errorf("baseline load %.2f without probes, want 0", none)
 	}
 }
 
-// The timeout of an attempt that a later one overtook does not change the trend: the endpoint was well, and the
-// whole fleet would be thought slow.
+// The timeout of an attempt that a later one overtook does not change the trend. The endpoint was healthy, and the
+// whole fleet would otherwise be predicted to be slow.
 func TestOvertakenTimeoutDoesNotChangeTrend(t *testing.T) {
 	for name, overtaken := range map[string]bool{"overtaken": true, "not overtaken": false} {
 		b, r := start(t, testSettings(), ready(1))
@@ -193,7 +197,7 @@
 			b.AttemptCompleted(990_000, Outcome{ID: s.id, Endpoint: 1, Status: Timeout, Latency: 989_000})
 		}
 		if changed := b.trend.ratio > 1; changed == overtaken {
-			t.Errorf("%s: trend %v", name, b.trend.ratio)
+			t.Errorf("%s: trend ratio %v", name, b.trend.ratio)
 		}
 	}
 }
--- a/balancer/members_test.go
+++ b/balancer/members_test.go
@@ -14,7 +14,7 @@
 	}
 	for _, s := range r.sends {
 		if s.endpoint == 1 || s.endpoint == 2 {
-			t.Fatalf("sent to %d", s.endpoint)
+			t.Fatalf("a request was sent to endpoint %d, which is draining or removed", s.endpoint)
 		}
 	}
 }
@@ -33,20 +33,20 @@
 				return
 			}
 		}
-		t.Fatal("no timer for discovery")
+		t.Fatal("no timer for polling discovery")
 	}
 	fire()
 	for n := 1; n < 8; n++ {
 		if r.watches != n {
-			t.Fatalf("%d calls, %d wanted", r.watches, n)
+			t.Fatalf("%d calls of Watch, want %d", r.watches, n)
 		}
 		before := now
 		if n%2 == 0 {
 			b.UpdateEndpoints(now, ListFailed, nil)
-		} // else the response is lost
+		} // otherwise the response is lost
 		fire()
 		if now-before > s.Contract.PollInterval {
-			t.Fatalf("polled only after %d", now-before)
+			t.Fatalf("polled after %d µs, want at most the poll interval", now-before)
 		}
 	}
 	if len(b.endpoints.list) != 2 {
@@ -56,12 +56,12 @@
 	n := r.watches
 	b.TimerFired(now+100*second, discoveryTimer)
 	if r.watches != n {
-		t.Error("polled again while subscribed")
+		t.Error("discovery was polled while subscribed")
 	}
 }
 
-// However long the poll interval: a change must be known 6 s after discovery can be reached again, and the poll itself
-// takes time, too.
+// A change must be known 6 s after discovery is reachable again, regardless of the poll interval, and the poll itself
+// takes time too.
 func TestFailedPollIsRetriedWithinFourSeconds(t *testing.T) {
 	for _, interval := range []Micros{5 * second, 10 * second, 16 * second, 60 * second} {
 		s := testSettings()
@@ -74,10 +74,10 @@
 			b.UpdateEndpoints(now, ListFailed, nil)
 			index := slices.Index(r.timers, discoveryTimer)
 			if index < 0 {
-				t.Fatal("no timer for discovery")
+				t.Fatal("no timer for polling discovery")
 			}
 			if delay := r.delays[index]; delay > 4*second {
-				t.Errorf("interval of %d s: polled only after %d µs", interval/second, delay)
+				t.Errorf("poll interval of %d s: polled after %d µs, want at most 4 s", interval/second, delay)
 			}
 			now += r.delays[index]
 			b.TimerFired(now, discoveryTimer)
@@ -85,7 +85,7 @@
 	}
 }
 
-// The start of a process is an instant of another machine's wall clock, and this machine's may be ahead by an hour.
+// A process start time is read from another machine's wall clock, and this machine's clock may be ahead by an hour.
 func TestNewEndpointStartsSlowlyWhereTheWallClockIsAhead(t *testing.T) {
 	const hour = 3600 * second
 	b, _ := start(t, testSettings(), ready(2))
@@ -97,6 +97,6 @@
 	}
 	b.UpdateEndpoints(now, ListDelta, []Endpoint{{ID: 3, Weight: 1, StartTime: now - hour}})
 	if e := b.endpoints.byID[3]; !e.inSlowStart(now, b) {
-		t.Error("an endpoint that was not listed a second ago has no slow start")
+		t.Error("an endpoint that was not listed one second ago is not in slow start")
 	}
 }
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -15,21 +15,21 @@
 	for id := range uint64(4) {
 		b.HandleRequest(2000, testRequest(id, 0, 2000))
 	}
-	// Endpoint 2 has the minimum until it has as many in flight as endpoint 1 reported.
+	// Endpoint 2 has the lowest load until its in-flight count reaches the number that endpoint 1 reported.
 	for i, s := range r.sends {
 		if s.endpoint != 2 {
-			t.Errorf("send %d went to %d", i, s.endpoint)
+			t.Errorf("send %d went to endpoint %d, want 2", i, s.endpoint)
 		}
 	}
 	if len(r.sends) != 4 {
-		t.Fatalf("%d sends", len(r.sends))
+		t.Fatalf("%d sends, want 4", len(r.sends))
 	}
 	if got := b.load(b.endpoints.byID[2]); got != 4 {
-		t.Errorf("load with own sends: %v", got)
+		t.Errorf("load of endpoint 2 including local sends is %v, want 4", got)
 	}
 }
 
-// In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
+// In a large fleet all balancers receive the report of the same idle endpoint, so none may fill it alone.
 func TestOneLowReportAttractsNoHerd(t *testing.T) {
 	for _, test := range []struct{ balancers, maxSends int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
@@ -83,14 +83,14 @@
 		step()
 	}
 	if sends[1] > 300 {
-		t.Errorf("a failing endpoint got %d of 3000", sends[1])
+		t.Errorf("a failing endpoint got %d sends of 3000 requests, want at most 300", sends[1])
 	}
 	if sends[1] < 2 {
-		t.Errorf("a failing endpoint is not sent to again: %d sends", sends[1])
+		t.Errorf("a failing endpoint got %d sends, want at least 2, so that its recovery is noticed", sends[1])
 	}
 }
 
-// After a start only few endpoints have reported: they must not attract all traffic.
+// After a start only few endpoints have reported, and they must not attract all traffic.
 func TestFewReportsDoNotAttractAllTraffic(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	b.ProbeCompleted(1000, 3, OK, 500, []float32{0})
@@ -102,11 +102,12 @@
 		seen[s.endpoint]++
 	}
 	if len(r.sends) != 24 || len(seen) < 4 || seen[3] > 12 {
-		t.Errorf("%d sends, by endpoint %v", len(r.sends), seen)
+		t.Errorf("%d sends, by endpoint %v, want 24 spread over at least 4, of which at most 12 to endpoint 3",
+			len(r.sends), seen)
 	}
 }
 
-// Random draws must not miss the endpoints of a short list, or of a list without weights.
+// Random draws must find an endpoint also in a short list or if weights are 0.
 func TestRandomDrawFindsAnyEndpoint(t *testing.T) {
 	for n := range 12 {
 		list := ready(n)
@@ -116,14 +117,14 @@
 		b, _ := start(t, testSettings(), list)
 		for range 50 {
 			if e := b.drawRandom(1000, &request{Request: testRequest(1, 0, 1000)}, nil, 0); (e == nil) != (n == 0) {
-				t.Fatalf("%d endpoints: drew %v", n, e)
+				t.Fatalf("%d endpoints: drawRandom returned %v", n, e)
 			}
 		}
 	}
 }
 
-// Where opening a connection costs, recently used endpoints go first while they are idle and their connection is
-// open. One that is busy or was not used for too long is not preferred, and a queue outweighs the preference.
+// If opening a connection has a cost, recently used endpoints are preferred while they are idle and their connection is
+// open. An endpoint that is busy or has no recent requests is not preferred, and a queue outweighs the preference.
 func TestIdleConnectionsArePreferred(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -160,7 +161,7 @@
 	}
 }
 
-// Opening a connection costs a part of the latency objective and some round trips.
+// Opening a connection costs a ratio of the latency objective and some round trips.
 func TestIdleConnectionSavesCostOfOpening(t *testing.T) {
 	s := testSettings()
 	s.Limits.KeepAlive = 5 * second
@@ -174,18 +175,18 @@
 	}
 	want := connectRoundTrips*1000 + connectCostRatio*float64(s.Classes[0].LatencyObjective)
 	if got := extra(now); math.Abs(got-want) > 1 {
-		t.Errorf("opening costs %.0f us, want %.0f", got, want)
+		t.Errorf("opening a connection costs %.0f µs, want %.0f", got, want)
 	}
 	if got := extra(now + 4*second); got != 0 {
-		t.Errorf("after 4 s, when it may be closed, %.0f", got)
+		t.Errorf("extra cost of a new connection is %.0f µs after 4 s, when the idle one may be closed, want 0", got)
 	}
 	b.endpoints.list[0].inFlight = 1
 	if got := extra(now); got >= connectCostRatio*float64(s.Classes[0].LatencyObjective) {
-		t.Errorf("while it is busy %.0f", got)
+		t.Errorf("extra cost of a new connection is %.0f µs while the other endpoint is busy", got)
 	}
 }
 
-// A recently used endpoint that is removed, draining or failing is not sent to for its connection.
+// A recently used endpoint that is draining or removed is not preferred for its open connection.
 func TestRemovedEndpointIsNotUsedForItsConnection(t *testing.T) {
 	s := testSettings()
 	s.Limits.Probes, s.Limits.KeepAlive = false, 5*second
@@ -217,7 +218,7 @@
 	b.UpdateEndpoints(now, ListFull, list)
 	for id := range uint64(40) {
 		if at := request(100+id, OK); at == list[0].ID || at != 0 && b.endpoints.byID[at] == nil {
-			t.Fatalf("sent to %d, which is draining or removed", at)
+			t.Fatalf("a request was sent to endpoint %d, which is draining or removed", at)
 		}
 	}
 }
--- a/balancer/rejection_test.go
+++ b/balancer/rejection_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A wrong estimate of a class's work must not reject that class for ever. But a trial a second at each of a
+// A wrong estimate of a class's work must not reject that class forever. But a trial per second from each of a
 // thousand balancers with little traffic would keep an overloaded fleet overloaded.
 func TestLatencyRejectionAdmitsFewTrials(t *testing.T) {
 	for _, test := range []struct {
@@ -22,16 +22,16 @@
 			b.HandleRequest(now, testRequest(i, 0, now))
 		}
 		if n := len(r.sends); n < test.from || n > test.to {
-			t.Errorf("a request every %d µs: %d of 300 sent, want %d to %d", test.gap, n, test.from, test.to)
+			t.Errorf("one request every %d µs: %d of 300 sent, want %d to %d", test.gap, n, test.from, test.to)
 		}
 		if len(r.rejected) != 300-len(r.sends) {
-			t.Errorf("%d rejected, %d sent", len(r.rejected), len(r.sends))
+			t.Errorf("%d requests rejected and %d sent, want 300 in total", len(r.rejected), len(r.sends))
 		}
 	}
 }
 
-// Tenants are compared by what was sent of each over its quota: one that is ahead has a lower weight until the
-// others have caught up, and one that asks for less than its quota never has.
+// Tenants are compared by the requests sent for each relative to its quota. A tenant that is ahead has a lower weight
+// until the others have caught up; one that stays below its quota always has the full weight.
 func TestTenantAboveQuotaHasLowerWeight(t *testing.T) {
 	for name, test := range map[string]struct {
 		sends       [3]int // in turn
@@ -64,12 +64,12 @@
 			}
 		}
 		if got := b.tenantWeight(second, &request{Request: Request{Tenant: 9}}); got != 1 {
-			t.Errorf("%s: unknown tenant: %v", name, got)
+			t.Errorf("%s: weight of an unknown tenant is %v, want 1", name, got)
 		}
 	}
 }
 
-// While reports are late, averages decide: they must not reject what an endpoint that they cannot show would serve.
+// While reports are late, averages are used, which must not reject a request that some endpoint would serve in time.
 func TestLateReportsAllowFullLatencyObjective(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	r := &request{Request: testRequest(1, 0, 0), work: 50_000}
@@ -78,22 +78,23 @@
 	b.reports.late = true
 	objective := float64(b.settings.Classes[0].LatencyObjective)
 	if after := b.latencyLimit(0, r, b.endpoints.list[0]); after <= before || after != objective {
-		t.Errorf("limit %v before, %v while late", before, after)
+		t.Errorf("latency limit %v with timely reports and %v with late ones, want the latency objective",
+			before, after)
 	}
 }
 
-// A few slow answers must not lead to rejections where nothing is queued.
+// A few slow answers must not lead to rejections when nothing is queued.
 func TestIdleEndpointIsNotRejected(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.endpoints.list[0].slowness, b.endpoints.list[0].slownessAt = ewma{value: 9, seen: true}, 1000
 	b.ProbeCompleted(1000, 1, OK, 500, []float32{0})
 	b.HandleRequest(2000, testRequest(1, 0, 2000))
 	if len(r.sends) != 1 {
-		t.Errorf("%d sends to an idle endpoint thought slow", len(r.sends))
+		t.Errorf("%d sends to an idle endpoint with high slowness, want 1", len(r.sends))
 	}
 }
 
-// Trials prolong an overload: each that fails makes the next rarer.
+// Trials prolong an overload, so each failed trial makes the next one rarer.
 func TestFailedTrialsBecomeRarer(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.classes[0].work.value = float64(100 * second)
@@ -108,7 +109,8 @@
 		}
 	}
 	if passed[0] < 3 || passed[0] > 8 || passed[1] > 2 {
-		t.Errorf("%d trials in the first 200 and %d in the next", passed[0], passed[1])
+		t.Errorf("%d trials in the first 200 requests and %d in the next 200, want 3 to 8 and at most 2",
+			passed[0], passed[1])
 	}
 	b.traffic.trialInterval = maxTrialInterval
 	r.sends = nil
@@ -118,7 +120,7 @@
 	b.HandleRequest(502*second, testRequest(1001, 0, 502*second))
 	b.AttemptCompleted(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, Settled: true})
 	if b.traffic.trialInterval != minTrialInterval {
-		t.Errorf("one trial in %d after an answer in time", b.traffic.trialInterval)
+		t.Errorf("one trial in %d requests after a timely answer, want the minimum interval", b.traffic.trialInterval)
 	}
 }
 
@@ -127,11 +129,11 @@
 	b.HandleRequest(1000, testRequest(1, 4, 1000))
 	b.HandleRequest(1000, Request{ID: 2, Deadline: 500})
 	if len(r.rejected) != 2 || b.ledger.open != 0 || len(b.ledger.requests) != 0 {
-		t.Errorf("rejected %v, open %d", r.rejected, b.ledger.open)
+		t.Errorf("rejected %v, %d open, want both requests rejected and released", r.rejected, b.ledger.open)
 	}
 }
 
-// On-call staff must learn why requests are rejected, in one line a second and not in thousands.
+// On-call staff must see why requests are rejected in one log line a second, not in thousands.
 func TestRejectionsAreLoggedOncePerSecond(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.ProbeCompleted(1000, 1, OK, 500, []float32{50})
@@ -141,11 +143,11 @@
 		b.HandleRequest(now, testRequest(id, 0, now))
 	}
 	if len(r.rejected) < 150 {
-		t.Fatalf("only %d rejected", len(r.rejected))
+		t.Fatalf("%d requests rejected, want at least 150", len(r.rejected))
 	}
 	if len(r.logs) != 2 || !strings.Contains(r.logs[0], "predicted latency too high endpoint 1 ") ||
 		!strings.Contains(r.logs[1], "reason predicted latency too high attempts 0 count 1") {
-		t.Errorf("log: %q", r.logs)
+		t.Errorf("log lines %q, want one for the prediction and one for the rejection", r.logs)
 	}
 	rejected := len(r.rejected)
 	now := 5 * second
@@ -154,11 +156,11 @@
 		b.HandleRequest(now, testRequest(id, 0, now))
 	}
 	if last := r.logs[len(r.logs)-1]; !strings.HasSuffix(last, fmt.Sprint("count ", rejected)) {
-		t.Errorf("log: %q, want a count of %d", last, rejected)
+		t.Errorf("last log line %q, want a count of %d", last, rejected)
 	}
 }
 
-// Each final answer of the balancer's own and each retry has a line with the request and its reason.
+// Each final answer that the balancer itself gives, and each retry, is logged with the request and the reason.
 func TestAnswersAndRetriesAreLoggedWithTheirReason(t *testing.T) {
 	for wantLine, trigger := range map[string]func(*Balancer){
 		"request rejected request 1 reason deadline exceeded": func(b *Balancer) {
@@ -184,7 +186,7 @@
 		b, r := start(t, testSettings(), ready(2))
 		trigger(b)
 		if !slices.ContainsFunc(r.logs, func(line string) bool { return strings.HasPrefix(line, wantLine) }) {
-			t.Errorf("log %q, want %q", r.logs, wantLine)
+			t.Errorf("log lines %q, want one that starts with %q", r.logs, wantLine)
 		}
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// checker hosts a balancer and asserts the rules on every action.
+// checker is a host that checks on every action that the balancer observes the rules.
 type checker struct {
 	settings   Settings
 	now        Micros
-	states     map[uint32]Endpoint        // that the balancer was notified of last
-	requests   map[uint64]*checkedRequest // open and ended
+	states     map[uint32]Endpoint        // as last notified to the balancer
+	requests   map[uint64]*checkedRequest // open and completed
 	violations []string
 	timers     []pendingTimer
 	probes     []uint32 // pending
@@ -66,30 +66,30 @@
 	}
 	e, known := c.states[endpoint]
 	if r.answered > 0 || r.closed {
-		c.violation("send after the end of %d", id)
+		c.violation("request %d was sent after its end", id)
 	}
 	if !known || e.State != Ready {
-		c.violation("send to endpoint %d in state %d", endpoint, e.State)
+		c.violation("send to endpoint %d, whose state is %d or which is not listed", endpoint, e.State)
 	}
 	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
-		c.violation("attempt %d of %d", len(r.attempts), id)
+		c.violation("attempt %d of request %d exceeds the limit", len(r.attempts), id)
 	}
 	for _, a := range r.attempts {
 		if a.pending && !c.settings.Limits.Hedging {
-			c.violation("hedge of %d, which is not permitted", id)
+			c.violation("request %d was hedged, which the limits do not permit", id)
 		}
 	}
 	if first := r.firstMayHaveRun(); first != nil {
 		c.checkRepeat(r, first, e, by)
 	}
 	if by > r.in.Deadline {
-		c.violation("attempt at %d may be written after its time", id)
+		c.violation("attempt of request %d may be written after the deadline", id)
 	}
 	r.attempts = append(r.attempts, checkedAttempt{endpoint: e, sentAt: c.now, pending: true, mayHaveRun: true})
 }
 
-// checkRepeat checks that an attempt at e, written by an instant, cannot have a second effect after an earlier attempt
-// that may have run.
+// checkRepeat checks that an attempt at e, written at the instant by at the latest, cannot have a second effect after
+// an earlier attempt that may have run.
 func (c *checker) checkRepeat(r *checkedRequest, first *checkedAttempt, e Endpoint, by Micros) {
 	class := c.settings.Classes[r.in.Class]
 	if class.Idempotency == Idempotent {
@@ -99,17 +99,17 @@
 		class.Group == GroupCell && first.endpoint.Cell == e.Cell
 	windowEnd := first.sentAt + class.DedupWindow
 	if class.Idempotency == NotIdempotent || !isSameGroup || c.now > windowEnd {
-		c.violation("repeat of %d (%s) may have a second effect", r.in.ID, class.Name)
+		c.violation("repeat of request %d (%s) may have a second effect", r.in.ID, class.Name)
 	}
 	if class.Idempotency == IdempotentWithKey && by > windowEnd {
-		c.violation("repeat of %d (%s) may be written after its window", r.in.ID, class.Name)
+		c.violation("repeat of request %d (%s) may be written after the deduplication window", r.in.ID, class.Name)
 	}
 }
 
 func (c *checker) recordFinal(id uint64) *checkedRequest {
 	r := c.requests[id]
 	if r == nil || r.answered > 0 || r.closed {
-		c.violation("final answer for %d, which is not open", id)
+		c.violation("final answer for request %d, which is not open", id)
 		return nil
 	}
 	r.answered++
@@ -120,10 +120,11 @@
 	if r := c.recordFinal(id); r != nil && r.firstMayHaveRun() != nil {
 		class := c.settings.Classes[r.in.Class]
 		if class.Idempotency == NotIdempotent || class.Idempotency == IdempotentWithKey && class.Group != GroupAll {
-			c.violation("rejection of %d (%s), which may have run", id, class.Name)
+			c.violation("request %d (%s) was rejected although it may have run", id, class.Name)
 		}
 		if class.Idempotency == IdempotentWithKey && c.now+after >= r.firstMayHaveRun().sentAt+class.DedupWindow {
-			c.violation("rejection of %d (%s) for %d: its key has expired when it is retried", id, class.Name, after)
+			c.violation("request %d (%s) was rejected with a retry after %d µs, when its key has expired",
+				id, class.Name, after)
 		}
 	}
 }
@@ -132,13 +133,13 @@
 
 func (c *checker) Cancel(id uint64, attempt int) {
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
-		c.violation("cancel of attempt %d of %d, never made", attempt, id)
+		c.violation("cancel of attempt %d of request %d, which was never sent", attempt, id)
 	}
 }
 
 func (c *checker) Timer(delay Micros, token uint32) {
 	if delay <= 0 {
-		c.violation("timer delay %d", delay)
+		c.violation("timer delay %d µs, want more than 0", delay)
 	}
 	c.timers = append(c.timers, pendingTimer{c.now + delay, token})
 }
@@ -152,13 +153,13 @@
 
 func (c *checker) Watch(bool) {
 	if !c.settings.PollDiscovery {
-		c.violation("subscription where changes are pushed")
+		c.violation("subscription to discovery although PollDiscovery is off")
 	}
 }
 
 func (c *checker) Log(string, ...any) {}
 
-// Numbers of a randomRun.
+// Parameters of a randomRun.
 const (
 	randomEvents  = 3000
 	settleSteps   = 400 // after the last event
@@ -166,23 +167,23 @@
 	largeFleetMin = 20 // endpoints
 )
 
-// randomStatuses are drawn for the end of an attempt or probe.
+// randomStatuses are the statuses from which the result of an attempt or probe is drawn.
 var randomStatuses = []Status{OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
 
-// randomRun plays legal random events.
+// randomRun drives a balancer with random valid events.
 type randomRun struct {
 	*checker
 	balancer     *Balancer
 	random       *rand.Rand
 	list         []Endpoint
-	maxPause     int      // between events
-	fleetStarts  int      // starts of all endpoints at once that are still to come
+	maxPause     int      // µs between events
+	fleetStarts  int      // remaining simultaneous starts of all endpoints
 	requestIDs   []uint64 // of all requests so far
-	maxOnDemand  int      // most requests that waited for probes at once
+	maxOnDemand  int      // highest number of requests that waited for probes at the same time
 	isLargeFleet bool
 }
 
-// newRandomRun returns a run of a balancer that has a cached list.
+// newRandomRun returns a run of a balancer that was given a cached list.
 func newRandomRun(t *testing.T, s Settings, seed int64) *randomRun {
 	t.Helper()
 	r := &randomRun{
@@ -208,18 +209,17 @@
 	return r
 }
 
-// draw returns a random number below n.
+// draw returns a random number in [0,n).
 func (r *randomRun) draw(n int) int { return r.random.Intn(n) }
 
-// drawStatus returns a random status.
 func (r *randomRun) drawStatus() Status { return randomStatuses[r.draw(len(randomStatuses))] }
 
-// drawRequest returns one of all requests so far.
+// drawRequest returns a random one of all requests so far.
 func (r *randomRun) drawRequest() *checkedRequest {
 	return r.requests[r.requestIDs[r.draw(len(r.requestIDs))]]
 }
 
-// updateEndpoints notifies the balancer of a list.
+// updateEndpoints sends a membership event to the balancer and records its entries.
 func (r *randomRun) updateEndpoints(kind ListKind, entries []Endpoint) {
 	if kind != ListDelta && kind != ListFailed {
 		clear(r.states)
@@ -230,7 +230,7 @@
 	r.balancer.UpdateEndpoints(r.now, kind, entries)
 }
 
-// fireTimers fires the timers that are due, of tokens from firstToken on.
+// fireTimers fires the timers that are due and whose token is at least firstToken.
 func (r *randomRun) fireTimers(firstToken uint32) {
 	for i := 0; i < len(r.timers); {
 		p := r.timers[i]
@@ -243,7 +243,7 @@
 	}
 }
 
-// step lets time pass and plays one event.
+// step advances the time and generates one event.
 func (r *randomRun) step() {
 	r.now += Micros(r.draw(r.maxPause))
 	r.maxOnDemand = max(r.maxOnDemand, len(r.balancer.ledger.waitingForProbes))
@@ -262,7 +262,7 @@
 	}
 }
 
-// handleRequest sends a request, whose deadline may have passed.
+// handleRequest sends the balancer a request whose deadline may have passed.
 func (r *randomRun) handleRequest() {
 	in := Request{
 		ID:       uint64(len(r.requestIDs) + 1),
@@ -274,7 +274,7 @@
 	r.balancer.HandleRequest(r.now, in)
 }
 
-// completeAttempt completes the first pending attempt of a request, if there is one.
+// completeAttempt completes the first pending attempt of a request, if there is any.
 func (r *randomRun) completeAttempt(request *checkedRequest) {
 	index := slices.IndexFunc(request.attempts, func(a checkedAttempt) bool { return a.pending })
 	if index < 0 {
@@ -299,7 +299,6 @@
 	})
 }
 
-// disconnect disconnects the client of a request.
 func (r *randomRun) disconnect(request *checkedRequest) {
 	if request.answered == 0 {
 		request.closed = true
@@ -317,7 +316,7 @@
 	r.probes = r.probes[:0]
 }
 
-// changeList changes one endpoint or starts all of them, and notifies the balancer of some list.
+// changeList changes one endpoint or restarts all of them, and sends the balancer a membership event.
 func (r *randomRun) changeList() {
 	e := &r.list[r.draw(len(r.list))]
 	e.State = State(r.draw(3))
@@ -342,7 +341,7 @@
 	}
 }
 
-// startFleet has all endpoints start at about the same time.
+// startFleet restarts all endpoints at about the same time.
 func (r *randomRun) startFleet() {
 	r.fleetStarts--
 	for i := range r.list {
@@ -352,7 +351,7 @@
 	r.updateEndpoints(ListFull, slices.Clone(r.list))
 }
 
-// settle lets the deadlines of all requests pass and checks that each has a final answer.
+// settle advances the time past all deadlines and checks that each request has a final answer.
 func (r *randomRun) settle() {
 	for range settleSteps {
 		r.now += settlePause
@@ -365,7 +364,7 @@
 	}
 }
 
-// playRandomEvents runs legal random events from a seed and returns the violations found.
+// runRandomEvents generates random valid events from a seed and returns the violations of the rules.
 func runRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
 	r := newRandomRun(t, s, seed)
@@ -375,7 +374,7 @@
 	r.settle()
 	probesOnDemand := r.isLargeFleet && s.Limits.Probes && s.Prices.Probe < onDemandCostRatio
 	if probesOnDemand && r.maxOnDemand == 0 {
-		r.violation("no request waited for probes: the run does not test those that do")
+		r.violation("no request waited for probes, so the run does not cover probes on demand")
 	}
 	return r.violations
 }
@@ -407,7 +406,7 @@
 	}
 }
 
-// The checker itself must detect each broken rule.
+// The checker must detect a violation of each rule.
 func TestCheckerDetectsBrokenRules(t *testing.T) {
 	fresh := func() *checker {
 		c := newChecker(testSettings())
@@ -438,7 +437,7 @@
 	} {
 		c := fresh()
 		if breakRule(c); len(c.violations) == 0 {
-			t.Errorf("%s: not detected", name)
+			t.Errorf("%s: violation not detected", name)
 		}
 	}
 }
@@ -461,7 +460,7 @@
 		return r
 	}
 	if a, b := fmt.Sprint(run()), fmt.Sprint(run()); a != b {
-		t.Error("two runs differ")
+		t.Error("two runs with the same seed and events caused different actions")
 	}
 }
 
@@ -480,6 +479,6 @@
 		once()
 	}
 	if n := testing.AllocsPerRun(200, once); n > 0.1 {
-		t.Errorf("%v allocations a request", n)
+		t.Errorf("%v allocations per request, want none", n)
 	}
 }
--- a/balancer/scale_bench_test.go
+++ b/balancer/scale_bench_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// fleetSizes are the numbers of endpoints at which costs are compared.
+// fleetSizes are the numbers of endpoints at which costs are measured.
 var fleetSizes = []int{200, 800, 3200, 10_000}
 
-// scaleSettings are settings in which slow start lasts beyond any benchmark and leaves no budget.
+// scaleSettings returns settings with which slow start outlasts every benchmark and permits no sends.
 func scaleSettings() Settings {
 	s := testSettings()
 	s.Balancers = 300
@@ -20,7 +20,7 @@
 	return s
 }
 
-// scaleFleet returns n endpoints in two zones, six to a cell, of which the first slow ones start now.
+// scaleFleet returns n endpoints in two zones, six to a cell. The first slow of them start at now.
 func scaleFleet(n, slow int, now Micros) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -35,7 +35,7 @@
 	return list
 }
 
-// scaleSubject is a balancer under a stream of requests, one each millisecond.
+// scaleSubject is a balancer under a steady stream of requests, one per millisecond.
 type scaleSubject struct {
 	*Balancer
 	host *answeringHost
@@ -43,7 +43,7 @@
 	next uint64
 }
 
-// answeringHost remembers the attempts that are out.
+// answeringHost records the attempts that have no outcome yet.
 type answeringHost struct {
 	discard
 	sent []sent
@@ -65,8 +65,8 @@
 	return &scaleSubject{Balancer: b, host: host, now: second}
 }
 
-// request plays one request of a class whose attempts end with the given statuses in turn, the last of them again
-// and again.
+// request runs one request of a class. Its attempts end with the given statuses in turn, and further ones with the
+// last of them.
 func (s *scaleSubject) request(class uint8, key uint64, statuses ...Status) {
 	s.now += 1000
 	s.next++
@@ -81,7 +81,7 @@
 	}
 }
 
-// report has every endpoint report its load.
+// report completes a probe of every endpoint with the same load.
 func (s *scaleSubject) report() {
 	load := []float32{1}
 	for _, e := range s.endpoints.list {
@@ -92,7 +92,7 @@
 // reportInterval is the number of requests between two rounds of reports.
 const reportInterval = 500
 
-// scaleCase is a state of the fleet, and what is measured in it.
+// scaleCase is a state of the fleet and the operation that is measured in it.
 type scaleCase struct {
 	name   string
 	slow   func(n int) int // endpoints in slow start
@@ -152,7 +152,7 @@
 		}},
 }
 
-// BenchmarkFleetSize measures what one request or one change of the list costs in fleets of different sizes.
+// BenchmarkFleetSize measures the cost of one request or one list change in fleets of different sizes.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, c := range scaleCases {
 		for _, n := range fleetSizes {
@@ -182,7 +182,7 @@
 	}
 }
 
-// BenchmarkFullList measures a complete list in which nothing has changed, for each of its endpoints.
+// BenchmarkFullList measures the cost per endpoint of a complete list without changes.
 func BenchmarkFullList(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/balancer/scenarios_test.go
+++ b/balancer/scenarios_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// threeZoneSettings has three zones, no hedging and five attempts. The tests below cause failures of whole zones,
-// lists and probes, event by event.
+// threeZoneSettings returns settings with three zones, no hedging and five attempts. The tests below simulate failures
+// of zones, lists and probes, event by event.
 func threeZoneSettings() Settings {
 	s := testSettings()
 	s.Zones, s.Limits.Hedging, s.Limits.MaxAttempts = 3, false, 5
@@ -12,7 +12,7 @@
 	return s
 }
 
-// readyInThreeZones returns n ready endpoints, in three zones in turn.
+// readyInThreeZones returns n ready endpoints, assigned to three zones in turn.
 func readyInThreeZones(n int) []Endpoint {
 	list := ready(n)
 	for i := range list {
@@ -21,8 +21,8 @@
 	return list
 }
 
-// A balancer starts with an old list, half of whose endpoints are removed: every request is answered by another,
-// and the removed ones are soon avoided, though no list says that they are.
+// A balancer starts with an outdated list in which half of the endpoints no longer exist. Every request is answered by
+// another endpoint, and the missing ones are soon avoided although no list update reports them as removed.
 func TestRequestsAreServedThoughHalfOfListIsGone(t *testing.T) {
 	b, r := start(t, threeZoneSettings(), readyInThreeZones(12))
 	removed := func(id uint32) bool { return id%2 == 0 }
@@ -47,14 +47,15 @@
 		}
 	}
 	if served != 300 || len(r.rejected)+len(r.failed) > 0 {
-		t.Errorf("%d of 300 served, %d rejected, %d failed", served, len(r.rejected), len(r.failed))
+		t.Errorf("%d of 300 requests served, %d rejected, %d failed, want all served",
+			served, len(r.rejected), len(r.failed))
 	}
 	if lateSends > 30 {
-		t.Errorf("%d of the last 150 requests went to a removed endpoint", lateSends)
+		t.Errorf("%d sends of the last 150 requests went to a removed endpoint, want at most 30", lateSends)
 	}
 }
 
-// attemptOf is the index of a send among those of its request.
+// attemptOf returns the index of a send among those of its request.
 func attemptOf(r *recorder, at int) (n int) {
 	for _, s := range r.sends[:at] {
 		if s.id == r.sends[at].id {
@@ -64,8 +65,8 @@
 	return n
 }
 
-// The zone of a request with an idempotency key fails after its first attempt may have run: nowhere else is its
-// repeat dropped, so it fails at once, without a promise. What never ran goes elsewhere.
+// The zone of a request with an idempotency key fails after the first attempt may have run. No other zone drops its
+// repeat, so the request fails at once. If the attempt never ran, the request is sent to another zone.
 func TestRequestWithKeyIsNotRetriedOutsideFailedZone(t *testing.T) {
 	for status, sends := range map[Status]int{Reset: 1, Timeout: 1, Error: 1, ConnectFailed: 2, Full: 2} {
 		list := readyInThreeZones(9)
@@ -92,8 +93,8 @@
 	}
 }
 
-// A reset says little of the endpoint: where a group has no other, a request goes there again, and is never
-// rejected with a promise that is not true. What the endpoint itself has failed does not go there again.
+// A reset says little about the endpoint. If the group has no other endpoint, the request is sent there again, but not
+// after an error or a timeout. It is never rejected, since a retry by the client would not be safe.
 func TestResetRetriesOnlyEndpointOfGroup(t *testing.T) {
 	for status, sends := range map[Status]int{Reset: 2, Error: 1, Timeout: 1} {
 		b, r := start(t, threeZoneSettings(), readyInThreeZones(3))
@@ -101,13 +102,14 @@
 		first := r.sends[0].endpoint
 		b.AttemptCompleted(second+2000, Outcome{ID: 1, Endpoint: first, Status: status, Latency: 2000})
 		if len(r.sends) != sends || sends == 2 && r.sends[1].endpoint != first || len(r.rejected) > 0 {
-			t.Errorf("status %d: sends %v, %d rejected", status, r.sends, len(r.rejected))
+			t.Errorf("status %d: sends %v, %d rejected, want %d sends to the same endpoint and no rejection",
+				status, r.sends, len(r.rejected), sends)
 		}
 	}
 }
 
-// A quarter of the endpoints become five times as slow while their probes are answered as fast as before: what is
-// sent there falls to a small part, and comes back once they have recovered.
+// A quarter of the endpoints become five times as slow while their probes are answered as fast as before. They receive
+// far fewer requests until they have recovered.
 func TestSlowEndpointsWithHealthyProbesAreAvoided(t *testing.T) {
 	s := threeZoneSettings()
 	list := readyInThreeZones(8)
@@ -124,7 +126,7 @@
 	inFlight := map[uint32]int{}
 	slowSends := func(from, to Micros, slow bool) (sends int) {
 		for now := from; now < to; now += 5_000 {
-			for _, e := range list { // all probes are answered, with the load there
+			for _, e := range list { // all probes are answered with the current load
 				b.ProbeCompleted(now, e.ID, OK, 300, []float32{float32(inFlight[e.ID])})
 			}
 			for i := 0; i < len(out); {
@@ -161,20 +163,20 @@
 	slowSends(second+2*span, second+4*span, false)
 	after := slowSends(second+4*span, second+5*span, false)
 	if during > before/2 || after < before/2 {
-		t.Errorf("sends to the two: %d before, %d while slow, %d after", before, during, after)
+		t.Errorf("sends to the slow endpoints: %d before, %d while slow, %d after recovery", before, during, after)
 	}
 }
 
 // requestInterval is the time between two requests of a timerHost, in µs.
 const requestInterval = 10_000
 
-// timerHost runs a balancer by its own timers. Requests and probes are answered as serve and probe say.
+// timerHost runs a balancer on its own timers. serve and probe return the results of requests and probes.
 type timerHost struct {
 	balancer   *Balancer
 	recorder   *recorder
 	now        Micros
 	armed      []armedTimer
-	timersSeen int // timers, sends and probes that were taken up
+	timersSeen int // timers, sends and probes that were processed
 	sendsSeen  int
 	probesSeen int
 	lastID     uint64
@@ -188,7 +190,7 @@
 	token   uint32
 }
 
-// runActions carries out the balancer's actions, until there are no more.
+// runActions carries out the balancer's actions until there are none left.
 func (h *timerHost) runActions() {
 	for h.timersSeen < len(h.recorder.timers) || h.sendsSeen < len(h.recorder.sends) ||
 		h.probesSeen < len(h.recorder.probes) {
@@ -210,7 +212,7 @@
 	}
 }
 
-// runUntil runs until an instant, with an idempotent request at each requestInterval.
+// runUntil advances the time to an instant, with one idempotent request per requestInterval.
 func (h *timerHost) runUntil(end Micros) {
 	for next := h.now + requestInterval; h.now < end; {
 		first := -1
@@ -235,8 +237,8 @@
 
 func alwaysOK(Micros, uint32) Status { return OK }
 
-// The rate of probes follows their price, down to one a second; requests are served by what their own outcomes
-// show.
+// The rate of probes follows their price, down to one probe per second. Requests are then served by the outcomes of
+// earlier ones.
 func TestExpensiveProbesAreRare(t *testing.T) {
 	probes := func(price float64) int {
 		s := threeZoneSettings()
@@ -251,20 +253,20 @@
 		}
 		return len(r.probes) - before
 	}
-	// 2,000 requests in 20 s: the ratio of the result that probes may cost, and at least one a second. The factor
-	// is that of the jitter of a round.
+	// 2,000 requests in 20 s: the limit is the ratio of the result that probes may cost, and at least one probe per
+	// second. The factor 2 allows for the jitter of the probe rounds.
 	for price, maxProbes := range map[float64]int{0.5: 40, 5: 40, 0.05: 2 * 200} {
 		if n := probes(price); n > maxProbes {
 			t.Errorf("price %v: %d probes for 2,000 requests, want at most %d", price, n, maxProbes)
 		}
 	}
 	if cheap, expensive := probes(0.001), probes(0.5); cheap < 10*expensive {
-		t.Errorf("%d cheap probes, %d expensive ones", cheap, expensive)
+		t.Errorf("%d probes at a low price, %d at a high one, want at least 10 times as many", cheap, expensive)
 	}
 }
 
-// An agent that pushes lists stops sending: it is not polled; failed endpoints are avoided by what their
-// connections show, and used again when they are back, though no list says either.
+// An agent that pushes lists stops sending them and is not polled. Endpoints that fail are avoided because connections
+// to them fail, and used again once they have recovered, although no list update reports either.
 func TestFailedEndpointsAreAvoidedWithoutListUpdates(t *testing.T) {
 	s := threeZoneSettings()
 	s.PollDiscovery = false
@@ -288,7 +290,7 @@
 		}
 	}
 	if wastedRatio := float64(wasted) / float64(len(r.sends)-before); wastedRatio > 0.1 {
-		t.Errorf("%.2f of all attempts went to failed endpoints", wastedRatio)
+		t.Errorf("%.2f of all attempts went to failed endpoints, want at most 0.1", wastedRatio)
 	}
 	before = len(r.sends)
 	h.runUntil(recoveredAt + 30*second)
@@ -299,9 +301,11 @@
 		}
 	}
 	if resumed < (len(r.sends)-before)/10 {
-		t.Errorf("%d of %d attempts went to the recovered endpoints", resumed, len(r.sends)-before)
+		t.Errorf("%d of %d attempts went to the recovered endpoints, want at least a tenth",
+			resumed, len(r.sends)-before)
 	}
 	if len(r.rejected)+len(r.failed) > 0 || r.watches != watches {
-		t.Errorf("%d rejected, %d failed, %d polls", len(r.rejected), len(r.failed), r.watches-watches)
+		t.Errorf("%d requests rejected, %d failed, %d polls, want none",
+			len(r.rejected), len(r.failed), r.watches-watches)
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -2,26 +2,26 @@
 
 import "testing"
 
-// The capacity of an endpoint grows during slow start, and so must what is expected of it, also once its slowness
-// was learned.
+// The capacity of an endpoint grows during slow start, and the predictions must follow it, also after its slowness was
+// learned.
 func TestEndpointInSlowStartIsExpectedToBeSlow(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.UpdateEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.endpoints.byID[9]
 	if got := e.currentSlowness(1000, b); !almostEqual(got, 5) { // capacity ratio 0.2
-		t.Errorf("slowness %v at the start", got)
+		t.Errorf("slowness %v at the start, want 5", got)
 	}
 	e.slowness, e.slownessAt = ewma{value: 2, seen: true}, 6*second
 	if got := e.currentSlowness(6*second, b); got < 2.9 || got > 3 { // capacity ratio 0.68
-		t.Errorf("slowness %v half way", got)
+		t.Errorf("slowness %v at 6 s, want 2.9 to 3", got)
 	}
 	if got := e.currentSlowness(12*second, b); got > 2 {
-		t.Errorf("slowness %v after slow start", got)
+		t.Errorf("slowness %v after slow start, want at most 2", got)
 	}
 }
 
-// A balancer with little traffic earns one send to an endpoint in slow start in minutes: not all may start without
-// tokens.
+// A balancer with little traffic earns one send to an endpoint in slow start in minutes, so not all balancers may start
+// without tokens.
 func TestLowTrafficBalancersTogetherServeSlowStart(t *testing.T) {
 	allowed, all := 0, 200
 	for seed := range all {
@@ -43,13 +43,13 @@
 			allowed++
 		}
 	}
-	// In 5 s a warm endpoint gets half a request of each; this one 0.2 to 0.6 of 0.7 of that.
+	// In 5 s a warm endpoint gets half a request from each balancer; this one gets 0.2 to 0.6 of 0.7 of that.
 	if allowed < 5 || allowed > 60 {
 		t.Errorf("%d of %d balancers may send to an endpoint in slow start within 5 s", allowed, all)
 	}
 }
 
-// In slow start, an endpoint of a kind that is twice as fast gets more than one of a slow kind, within limits.
+// In slow start, an endpoint of a kind that is twice as fast gets more work than one of a slow kind, within limits.
 func TestSlowStartRateFollowsKind(t *testing.T) {
 	b, r := start(t, testSettings(), ready(6))
 	for i, e := range b.endpoints.list {
@@ -77,12 +77,12 @@
 		got[kind] = e.slowStart.tokens
 	}
 	if ratio := got[0] / got[1]; ratio < 1.5 || ratio > maxKindRatio*maxKindRatio {
-		t.Errorf("a fast and a slow kind get %v, %.2f times as much", got, ratio)
+		t.Errorf("tokens of the fast and the slow kind %v: %.2f times as many, want 1.5 to the limit", got, ratio)
 	}
 }
 
-// Where the fleet is overloaded, an endpoint that has just started is not: all send it less than it can do. Once
-// slow start is over it counts like any other.
+// In an overloaded fleet, an endpoint that has just started has no queue, since all balancers together send it less
+// than its capacity. After slow start it is treated like any other.
 func TestEndpointInSlowStartHasNoBaselineQueue(t *testing.T) {
 	s := testSettings()
 	b, _ := start(t, s, ready(2))
@@ -106,8 +106,8 @@
 	}
 }
 
-// slowStartSends counts sends to endpoints in slow start over the overload time just after their start, beside ten
-// warm ones under a steady load.
+// slowStartSends counts the sends to endpoints in slow start, and to ten warm ones on average, in the first second
+// after the start under a steady load.
 func slowStartSends(t *testing.T, rate int, count int) (starting []int, warm float64) {
 	t.Helper()
 	s := testSettings()
@@ -151,7 +151,7 @@
 		for _, n := range sends {
 			// The capacity ratio goes from 0.2 to 0.28 in this second; one request may round up.
 			if float64(n) > 0.28*warm+1 {
-				t.Errorf("rate %d: an endpoint in slow start got %d, a warm one %.1f", test.rate, n, warm)
+				t.Errorf("rate %d: an endpoint in slow start got %d sends, a warm one %.1f", test.rate, n, warm)
 			}
 		}
 	}
@@ -168,6 +168,6 @@
 		}
 	}
 	if n := len(r.sends); n < 20 || n > 250 {
-		t.Errorf("%d of 400 sent to the only endpoint, in slow start", n)
+		t.Errorf("%d of 400 requests sent to the only endpoint, which is in slow start, want 20 to 250", n)
 	}
 }
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// policyFiles are the files that decide, in the order of deploy/balancer.toml.
+// policyFiles are the files that make decisions, in the order in which deploy/balancer.toml lists them.
 var policyFiles = []string{
 	"balancer.go", "attempts.go", "rejection.go", "hedging.go", "pick.go", "candidates.go",
 	"prediction.go", "learning.go", "keys.go", "members.go", "slowstart.go",
 	"polling.go", "probes.go", "breaker.go", "ejection.go",
 }
 
-// maxFileLines bounds the lines of one file that are not blank: each has one job.
+// maxFileLines is the limit for the non-blank lines of one file, which keeps each file to one task.
 const maxFileLines = 220
 
 func TestPolicyFilesAreSmall(t *testing.T) {
@@ -35,12 +35,12 @@
 			}
 		}
 		if lines > maxFileLines {
-			t.Errorf("%s has %d lines that are not blank, at most %d are allowed", name, lines, maxFileLines)
+			t.Errorf("%s has %d non-blank lines, want at most %d", name, lines, maxFileLines)
 		}
 	}
 }
 
-// The deploy file must name the same files, no more and no fewer.
+// deploy/balancer.toml must name exactly these files.
 func TestPolicyFilesMatchDeployFile(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -51,7 +51,7 @@
 		want[i] = `"balancer/` + name + `"`
 	}
 	if line := "policy = [" + strings.Join(want, ", ") + "]"; !strings.Contains(string(text), line) {
-		t.Errorf("deploy/balancer.toml has no line %s", line)
+		t.Errorf("deploy/balancer.toml does not contain the line %s", line)
 	}
 }
 
@@ -73,7 +73,7 @@
 		}
 		for _, i := range f.Imports {
 			if !allowed[i.Path.Value] {
-				t.Errorf("%s imports %s", name, i.Path.Value)
+				t.Errorf("%s imports %s, which is not an allowed package", name, i.Path.Value)
 			}
 		}
 	}
