--- a/cmd/pinedale-proxy/explain.go
+++ b/cmd/pinedale-proxy/explain.go
@@ -33,7 +33,7 @@
 	}
 	for _, reason := range table.Explain(query) {
 		mark := " "
-		if reason.Taken {
+		if reason.Selected {
 			mark = ">"
 		}
 		fmt.Fprintf(out, "%s route[%d] (%s): %s\n", mark, reason.Route, routeTitle(file, reason.Route), reason.Text)
--- a/internal/policy/lookup.go
+++ b/internal/policy/lookup.go
@@ -116,9 +116,9 @@
 
 // Reason is the reason why a route was selected for a request or not.
 type Reason struct {
-	Route int  // index in Config.Routes
-	Taken bool // the route was selected
-	Text  string
+	Route    int  // index in Config.Routes
+	Selected bool // the route was selected for the request
+	Text     string
 }
 
 // Explain returns the reason for each route, in the order of the file.
@@ -133,7 +133,7 @@
 // explainRoute returns the reason for the route of an index. selected is the selected route, nil for none.
 func (t *Table) explainRoute(index int, selected *routeEntry, q *Query) Reason {
 	if selected != nil && selected.route == index {
-		return Reason{Route: index, Taken: true, Text: "it matches, and none is more specific"}
+		return Reason{Route: index, Selected: true, Text: "it matches, and none is more specific"}
 	}
 	text := t.config.Routes[index].mismatch(q)
 	if text == "" {
--- a/internal/policy/lookup_test.go
+++ b/internal/policy/lookup_test.go
@@ -132,7 +132,7 @@
 	routes := table.Config().Routes
 	for i, reason := range table.Explain(q) {
 		valid := reason.Text != ""
-		if reason.Taken {
+		if reason.Selected {
 			valid = routes[i].mismatch(q) == "" && routes[i].Class == routes[want].Class
 		}
 		if reason.Route != i || !valid {
@@ -215,7 +215,7 @@
 		bounds, ok := table.Lookup(q)
 		selected := 0
 		for _, reason := range table.Explain(q) {
-			if reason.Taken {
+			if reason.Selected {
 				selected++
 			}
 		}
