--- a/cmd/pinedale-proxy/main_test.go
+++ b/cmd/pinedale-proxy/main_test.go
@@ -120,11 +120,11 @@
 		},
 		{
 			[]string{"explain", "--config", path, "GET", "/shop/x?q=1"},
-			[]string{"class read", "> route[0] (prices): it matches", "route[1] (of class read): the method is GET, not POST"},
+			[]string{"class read", "> route[0] (prices): matches", "route[1] (of class read): the method is GET, not POST"},
 		},
 		{
 			[]string{"explain", "--config", path, "POST", "/shop", "x-tier: gold"},
-			[]string{"> route[1]", "route[0] (prices): it matches, and route[1] is more specific"},
+			[]string{"> route[1]", "route[0] (prices): matches, but route[1] is more specific"},
 		},
 		{
 			[]string{"explain", "--config", path, "POST", "/shop", "X-Tier: tin"},
--- a/internal/policy/build.go
+++ b/internal/policy/build.go
@@ -14,8 +14,8 @@
 	defaultRetryBurst = 10.0
 )
 
-// newTable builds the table of a configuration. previous is the table in use, nil for none. The compiler collects
-// faults about the numbers of classes, pools, tenants and budgets.
+// newTable builds the table of a configuration. previous is the table in use, nil for none. If there are more classes,
+// pools, tenants or budgets than can be numbered, newTable records an error in the compiler.
 func newTable(c *compiler, previous *Table) *Table {
 	t := &Table{
 		Version:      c.Version,
@@ -83,7 +83,7 @@
 		}
 	}
 	hasCapacity := c.require(len(t.classes) < maxClasses, "class",
-		"%d kinds of class since the start, at most %d: start anew", len(t.classes)+1, maxClasses)
+		"%d distinct classes since the start of the process, at most %d: restart the process", len(t.classes)+1, maxClasses)
 	if !hasCapacity {
 		return 0
 	}
@@ -99,9 +99,10 @@
 		numberOf(&t.pools, pool.Name)
 	}
 	c.require(len(t.pools) <= maxPools, "pool",
-		"%d pools since the start, at most %d: start anew", len(t.pools), maxPools)
+		"%d distinct pools since the start of the process, at most %d: restart the process", len(t.pools), maxPools)
 	c.require(len(t.tenants) <= maxTenantNumbers, "tenant",
-		"%d tenants since the start, at most %d: start anew", len(t.tenants), maxTenantNumbers)
+		"%d distinct tenants since the start of the process, at most %d: restart the process",
+		len(t.tenants), maxTenantNumbers)
 }
 
 // numberOf returns the index of a name, which is added if it is new.
@@ -121,10 +122,10 @@
 		slices.SortStableFunc(entries, func(a, b *routeEntry) int { return b.specificity() - a.specificity() })
 	}
 	c.require(len(t.budgets) <= maxBudgets, "route",
-		"%d budgets since the start, at most %d: start anew", len(t.budgets), maxBudgets)
+		"%d distinct budgets since the start of the process, at most %d: restart the process", len(t.budgets), maxBudgets)
 }
 
-// addRoute adds the route of an index, unless its class is unknown, which checkRoute reports.
+// addRoute adds the route at an index. It skips a route whose class is unknown, which checkRoute reports.
 func (t *Table) addRoute(c *compiler, index int) {
 	route := &c.Routes[index]
 	classBounds := t.classBounds[route.Class]
--- a/internal/policy/check_class.go
+++ b/internal/policy/check_class.go
@@ -23,7 +23,7 @@
 	return classes
 }
 
-// checkClass checks one class. prefix begins its keys.
+// checkClass checks one class. prefix is the first part of the keys of its settings.
 func (c *compiler) checkClass(prefix string, class *Class) {
 	c.checkTiming(prefix, &class.Timing)
 	c.checkHedgeQuantile(prefix+"copy_at", class)
@@ -42,16 +42,16 @@
 func (c *compiler) checkModuleWindow(key string, class *Class) {
 	limits := &c.Limits
 	c.require(limits.moduleWindow(class.DedupWindow) >= minModuleWindow, key,
-		"rule window: of %v nothing is left for a repeat, after a connection of %v, timers %v late and clocks %v apart",
+		"rule window: of %v nothing is left for a repeat if a connection takes %v, timers are %v late and clocks %v apart",
 		class.DedupWindow, limits.DialTimeout, limits.TimerSlack, limits.ClockError)
 }
 
 func (c *compiler) checkHedgeQuantile(key string, class *Class) {
 	quantile := class.HedgeQuantile
-	c.require(quantile >= 0 && quantile < 1, key, "%v is not a quantile, 0 to 1", quantile)
-	c.require(quantile == 0 || class.HedgeDelay == 0, key, "copy_after is set, too: one of the two says when")
+	c.require(quantile >= 0 && quantile < 1, key, "%v is not a quantile: must be at least 0 and less than 1", quantile)
+	c.require(quantile == 0 || class.HedgeDelay == 0, key, "copy_after is also set: set only one of the two")
 	c.require(quantile == 0 || class.Idempotency != balancer.NotIdempotent, key,
-		"rule unsafe: a request of this class is never sent twice")
+		"rule unsafe: a request of this class must not be sent twice")
 }
 
 func (c *compiler) checkClients(key string, class *Class) {
@@ -61,9 +61,9 @@
 		return
 	}
 	c.require(class.Idempotency != balancer.NotIdempotent, key,
-		"rule unsafe: what failed may have run, and a client that sends it again has it done twice")
+		"rule unsafe: a failed request may have run, and the client's retry would run it a second time")
 	c.require(class.Idempotency != balancer.IdempotentWithKey || class.Group == balancer.GroupAll, key,
-		"rule group: only some servers drop the repeats of this class, and a client's retry may go to any")
+		"rule group: only some servers drop repeats of this class, but a client's retry may reach any server")
 }
 
 // checkTiming checks the settings that classes and routes have in common, independently of each other.
@@ -72,17 +72,18 @@
 	c.require(timing.HedgeDelay >= 0, prefix+"copy_after", "%v is negative", timing.HedgeDelay)
 	attempts, maxAttempts := timing.MaxAttempts, c.Limits.MaxAttempts
 	c.require(attempts >= 0 && attempts <= maxAttempts, prefix+"attempts",
-		"rule attempts: %d is not in 1 to the %d of limits.attempts", attempts, maxAttempts)
+		"rule attempts: %d is not in 1 to %d (limits.attempts)", attempts, maxAttempts)
 	if ratio := timing.RetryRatio; ratio != nil {
 		c.require(*ratio >= 0 && *ratio <= 1, prefix+"retry_share",
-			"%v is not in 0 to 1: no request earns more than one retry", *ratio)
+			"%v is not in 0 to 1: a request earns at most one retry", *ratio)
 	}
 	if burst := timing.RetryBurst; burst != nil {
 		c.require(*burst >= 0 && *burst <= maxRetryBurst, prefix+"retry_burst",
 			"%v is not in 0 to %v", *burst, maxRetryBurst)
 	}
 	hedges := timing.Hedging != nil && *timing.Hedging
-	c.require(!hedges || c.Limits.Hedging, prefix+"second_copies", "limits.second_copies permits none")
+	c.require(!hedges || c.Limits.Hedging, prefix+"second_copies",
+		"second copies are enabled, but limits.second_copies permits none")
 }
 
 // checkEffective checks the settings of a class or route against the rules of the class.
@@ -92,11 +93,11 @@
 	}
 	class, maxDeadline := settings.Class, c.Limits.MaxDeadline
 	c.require(settings.Deadline <= maxDeadline, prefix+"deadline",
-		"%v is over %v, the most that a request gets", settings.Deadline, maxDeadline)
+		"%v is over %v, the maximum deadline of a request", settings.Deadline, maxDeadline)
 	c.require(settings.AttemptTimeout <= settings.Deadline, prefix+"try_for",
 		"%v is over the deadline of %v", settings.AttemptTimeout, settings.Deadline)
 	c.require(settings.HedgeDelay == 0 || class.Idempotency != balancer.NotIdempotent, prefix+"copy_after",
-		"rule unsafe: a request of this class is never sent twice")
+		"rule unsafe: a request of this class must not be sent twice")
 	if class.deduplicates() {
 		c.checkSchedule(prefix, settings)
 	}
@@ -113,17 +114,17 @@
 	}
 	longest := settings.longestAttempt()
 	c.require(longest+limits.DrainGrace+limits.TimerSlack <= limits.DrainTimeout, key,
-		"rule drain: an attempt may take %v and be sent %v after a drain is told, and servers end after %v",
+		"rule drain: an attempt may take %v and be sent up to %v after a drain starts, but servers stop %v after its start",
 		longest, limits.DrainGrace, limits.DrainTimeout)
 }
 
-// checkSchedule checks that each scheduled repeat reaches an endpoint while it still remembers the first attempt.
+// checkSchedule checks that each scheduled repeat reaches an endpoint within the deduplication window.
 func (c *compiler) checkSchedule(prefix string, settings Effective) {
 	limits, window := &c.Limits, settings.Class.DedupWindow
 	for _, repeat := range limits.Schedule(settings) {
 		latest := time.Duration(math.Ceil(float64(repeat.At) * (1 + limits.ClockError)))
 		c.require(latest < window, prefix+repeat.Key,
-			"rule window: %s may reach a server %v after the first, which remembers its key for %v"+
+			"rule window: %s may reach a server %v after the first attempt, but servers drop repeats of a key only for %v"+
 				" (connection %v, timers %v late, clocks %v apart)",
 			repeat.Description, latest, window, limits.DialTimeout, limits.TimerSlack, limits.ClockError)
 	}
@@ -135,16 +136,16 @@
 		return
 	}
 	if typicalWork := settings.Class.TypicalWork; timeout < typicalWork {
-		c.warn(key, "%v is under the usual work of its class, %v: most attempts would be given up",
+		c.warn(key, "%v is less than the usual service time of the class, %v: most attempts would time out",
 			timeout, typicalWork)
 	}
 	if dialTimeout := c.Limits.DialTimeout; timeout <= dialTimeout {
-		c.warn(key, "%v is not over limits.dial_timeout, %v: a slow connection ends the attempt",
+		c.warn(key, "%v is not over limits.dial_timeout, %v: an attempt may time out while it connects",
 			timeout, dialTimeout)
 	}
 	lastStart := time.Duration(settings.MaxAttempts-1) * timeout
 	if settings.MaxAttempts > 1 && lastStart >= settings.Deadline {
-		c.warn(key, "attempt %d would begin after %v, the deadline is %v",
+		c.warn(key, "attempt %d would begin after %v, but the deadline is %v",
 			settings.MaxAttempts, lastStart, settings.Deadline)
 	}
 }
@@ -155,9 +156,9 @@
 		c.warn(key, "%v is not under try_for, %v: no second copy is ever sent", delay, timeout)
 	}
 	if delay > 0 && !settings.Hedging {
-		c.warn(key, "second copies are off: none is sent")
+		c.warn(key, "second copies are disabled: none is sent")
 	}
 	if delay > 0 && settings.MaxAttempts == 1 {
-		c.warn(key, "one attempt is permitted: no second copy is ever sent")
+		c.warn(key, "only one attempt is permitted: no second copy is ever sent")
 	}
 }
--- a/internal/policy/check_route.go
+++ b/internal/policy/check_route.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// checkRoute checks one route. prefix begins its keys.
+// checkRoute checks one route. prefix is the first part of the keys of its settings.
 func (c *compiler) checkRoute(prefix string, route *Route, classes map[string]*Class, pools map[string]bool) {
 	c.checkMatchers(prefix, route)
 	c.require(route.Pool == "" || pools[route.Pool], prefix+"pool", "%q is not a pool of this file", route.Pool)
@@ -29,7 +29,7 @@
 		c.checkEffective(prefix, c.Effective(class, route))
 	}
 	if class.Idempotency == balancer.Idempotent && route.Method != "" && !isSafeMethod(route.Method) {
-		c.warn(prefix+"method", "%s to a class that is safe to repeat: it is resent as one that is", route.Method)
+		c.warn(prefix+"method", "%s may change data, but requests of the class are retried as safe to repeat", route.Method)
 	}
 }
 
@@ -39,19 +39,19 @@
 // checkMatchers checks the matchers of a route.
 func (c *compiler) checkMatchers(prefix string, route *Route) {
 	c.require(route.Path == "" || route.Prefix == "", prefix+"prefix",
-		"path is set, too: a route has one of the two")
+		"path is also set: a route may have only one of the two")
 	c.checkPath(prefix+"path", route.Path)
 	c.checkPath(prefix+"prefix", route.Prefix)
 	c.require(route.Prefix == "/" || !strings.HasSuffix(route.Prefix, "/"), prefix+"prefix",
-		"%q ends with a slash: prefixes match up to one", route.Prefix)
+		"%q ends with a slash: a prefix matches up to a slash or the end of the path", route.Prefix)
 	c.require(isHostName(route.Host), prefix+"host",
-		"%q is not a host's name in small letters, without port", route.Host)
+		"%q is not a host's name in lower case and without port", route.Host)
 	c.require(isToken(route.Method) && route.Method == strings.ToUpper(route.Method), prefix+"method",
 		"%q is not a method", route.Method)
 	for name, value := range route.Headers {
 		c.require(name != "" && isToken(name), prefix+"headers", "%q is not a header's name", name)
 		c.require(!strings.ContainsAny(value, "\r\n\x00"), prefix+"headers",
-			"the value of %q has characters that no header has", name)
+			"the value of %q contains CR, LF or NUL, which no header has", name)
 	}
 }
 
@@ -62,7 +62,7 @@
 
 func (c *compiler) checkPath(key, path string) {
 	c.require(path == "" || strings.HasPrefix(path, "/") && !IsAmbiguousPath(path), key,
-		"%q does not begin with a slash, or holds //, /. or /..", path)
+		"%q does not begin with a slash, or has an empty, . or .. segment", path)
 }
 
 // isToken reports whether all characters may be in an HTTP token (RFC 9110, section 5.6.2).
@@ -76,7 +76,7 @@
 	return true
 }
 
-// checkOverlaps finds routes that match the same requests as a route before them.
+// checkOverlaps reports each route that matches the same requests as an earlier route.
 func (c *compiler) checkOverlaps(table *Table) {
 	for _, entries := range table.routes {
 		if len(entries) < 2 {
@@ -100,9 +100,9 @@
 	key := fmt.Sprintf("route[%d].class", later)
 	first, second := &c.Routes[previous], &c.Routes[later]
 	if first.Class == second.Class && first.Pool == second.Pool && first.equal(&second.Timing) {
-		c.warn(key, "is never reached: route[%d] gets the same requests, and says the same of them", previous)
+		c.warn(key, "the route is never selected: route[%d] matches the same requests and has the same settings", previous)
 		return
 	}
-	c.fault(key, "rule overlap: it gets the same requests as route[%d], of class %q, and says something else of them",
+	c.fault(key, "rule overlap: the route matches the same requests as route[%d] of class %q, but has other settings",
 		previous, first.Class)
 }
--- a/internal/policy/compile.go
+++ b/internal/policy/compile.go
@@ -9,7 +9,7 @@
 // Bounds of a table. The numbers of earlier tables count, because requests in flight may use them.
 const (
 	maxClasses       = 256     // the decision module uses numbers of one byte
-	maxPools         = 64      // bits of a word
+	maxPools         = 64      // a set of pools is the bits of a uint64
 	maxBudgets       = 1 << 15 // of classes and routes
 	maxRoutes        = 10_000
 	maxTenants       = 1000
@@ -82,7 +82,7 @@
 	c.require(len(c.Pools) <= maxPools, "pool", "%d pools, at most %d", len(c.Pools), maxPools)
 	for i, pool := range c.Pools {
 		prefix := fmt.Sprintf("pool[%d].", i)
-		c.require(pool.Name != "" && !names[pool.Name], prefix+"name", "%q is missing or there twice", pool.Name)
+		c.require(pool.Name != "" && !names[pool.Name], prefix+"name", "%q is missing or used twice", pool.Name)
 		names[pool.Name] = true
 	}
 	return names
@@ -93,7 +93,7 @@
 	names := map[string]bool{}
 	for i, tenant := range c.Tenants {
 		prefix := fmt.Sprintf("tenant[%d].", i)
-		c.require(tenant.Name != "" && !names[tenant.Name], prefix+"name", "%q is missing or there twice", tenant.Name)
+		c.require(tenant.Name != "" && !names[tenant.Name], prefix+"name", "%q is missing or used twice", tenant.Name)
 		names[tenant.Name] = true
 		validWeight := tenant.Weight > 0 && tenant.Weight <= maxTenantWeight
 		c.require(validWeight, prefix+"weight", "%v is not over 0 and up to 1e6", tenant.Weight)
--- a/internal/policy/compile_test.go
+++ b/internal/policy/compile_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// marketConfig returns a valid configuration with a class of each kind.
-func marketConfig() *Config {
+// validConfig returns a valid configuration with a class of each kind.
+func validConfig() *Config {
 	return &Config{
 		Version: "v",
 		Limits: Limits{
@@ -59,7 +59,7 @@
 	}
 }
 
-// Indexes of the classes of marketConfig.
+// Indexes of the classes of validConfig.
 const (
 	classPrices = iota
 	classPay
@@ -116,7 +116,7 @@
 			key:      "class[1].try_for",
 			reason:   []string{"rule window", "attempt 3", "1.5s", "1.570785s"},
 		},
-		"attempts of one pod": {
+		"attempts of a class with deduplication in one pod": {
 			accepted: func(c *Config) {
 				setLongDeadline(&c.Classes[classDayClose], 5800*ms)
 			},
@@ -153,15 +153,15 @@
 			},
 			rejected: func(c *Config) { c.Classes[classPay].Clients = ClientsRetryFailed },
 			key:      "class[1].deadline",
-			reason:   []string{"a client that comes again within its 2.5s"},
+			reason:   []string{"a client that comes again within its deadline of 2.5s"},
 		},
-		"clients that retry at any pod": {
+		"clients whose retries may reach any pod": {
 			accepted: func(c *Config) { c.Classes[classDayClose].Clients = ClientsRetryRejected },
 			rejected: func(c *Config) { c.Classes[classDayClose].Clients = ClientsRetryFailed },
 			key:      "class[2].clients",
 			reason:   []string{"rule group"},
 		},
-		"clients that retry what is not idempotent": {
+		"clients that retry requests that are not idempotent": {
 			accepted: func(c *Config) { c.Classes[classOrder].Clients = ClientsRetryRejected },
 			rejected: func(c *Config) { c.Classes[classOrder].Clients = ClientsRetryFailed },
 			key:      "class[3].clients",
@@ -173,19 +173,19 @@
 			key:      "class[1].copy_after",
 			reason:   []string{"rule window", "a second copy", "1.5s"},
 		},
-		"a hedge of what is not idempotent": {
+		"a hedge of a class that is not idempotent": {
 			accepted: func(c *Config) {},
 			rejected: func(c *Config) { c.Classes[classOrder].HedgeDelay = ms },
 			key:      "class[3].copy_after",
 			reason:   []string{"rule unsafe"},
 		},
-		"a hedge quantile of what is not idempotent": {
+		"a hedge quantile of a class that is not idempotent": {
 			accepted: func(c *Config) { c.Classes[classPay].HedgeQuantile = 0.9 },
 			rejected: func(c *Config) { c.Classes[classOrder].HedgeQuantile = 0.9 },
 			key:      "class[3].copy_at",
 			reason:   []string{"rule unsafe"},
 		},
-		"a window that is all connection": {
+		"a window that is used up by the connection": {
 			accepted: func(c *Config) { c.Classes[classPay].DedupWindow = 300 * ms },
 			rejected: func(c *Config) { c.Classes[classPay].DedupWindow = 260 * ms },
 			key:      "class[1].window",
@@ -197,13 +197,13 @@
 			key:      "class[0].attempts",
 			reason:   []string{"rule attempts", "4"},
 		},
-		"a drain that cuts off": {
+		"a drain that is shorter than an attempt": {
 			accepted: func(c *Config) { c.Limits.DrainTimeout = 5100 * ms },
 			rejected: func(c *Config) { c.Limits.DrainTimeout = 5 * time.Second },
 			key:      "class[0].deadline",
 			reason:   []string{"rule drain", "3s", "2s", "5s"},
 		},
-		"a drain, and time for an attempt": {
+		"a drain that is longer than an attempt timeout": {
 			accepted: func(c *Config) {
 				c.Limits.DrainTimeout = 3500 * ms
 				for i := range c.Classes {
@@ -214,7 +214,7 @@
 			key:      "class[0].deadline",
 			reason:   []string{"rule drain"},
 		},
-		"a route that is later than its class": {
+		"a route with a later hedge than its class": {
 			accepted: func(c *Config) {
 				c.Routes = []Route{{Class: "stall-pay", Prefix: "/a", Timing: Timing{HedgeDelay: time.Second}}}
 			},
@@ -224,7 +224,7 @@
 			key:    "route[0].copy_after",
 			reason: []string{"rule window"},
 		},
-		"a route beside its class's attempts": {
+		"a route with more attempts than its class": {
 			accepted: func(c *Config) {
 				setAttempts(&c.Classes[classPay], 1200*ms, 2)
 				c.Routes = []Route{{Class: "stall-pay", Prefix: "/a"}}
@@ -253,7 +253,7 @@
 		errs, _ := faults(configure(c.rejected))
 		index := slices.IndexFunc(errs, func(line string) bool { return strings.HasPrefix(line, c.key+": ") })
 		if index < 0 {
-			t.Errorf("%s: %v, want one of %s", name, errs, c.key)
+			t.Errorf("%s: errors %v, want one for %s", name, errs, c.key)
 			continue
 		}
 		for _, part := range c.reason {
@@ -264,9 +264,9 @@
 	}
 }
 
-// configure returns the configuration of marketConfig after a change.
+// configure returns a changed copy of validConfig.
 func configure(change func(*Config)) *Config {
-	config := marketConfig()
+	config := validConfig()
 	change(config)
 	return config
 }
@@ -277,29 +277,35 @@
 		set func(*Config)
 		key string
 	}{
-		"less than the usual work": {
+		"attempt timeout below the usual service time": {
 			func(c *Config) { c.Classes[0].AttemptTimeout, c.Classes[0].TypicalWork = 300*ms, 400*ms },
 			"class[0].try_for",
 		},
-		"less than a connection": {func(c *Config) { c.Classes[0].AttemptTimeout = 200 * ms }, "class[0].try_for"},
-		"attempts past the end":  {func(c *Config) { c.Classes[0].AttemptTimeout = 2 * time.Second }, "class[0].try_for"},
-		"a hedge past the attempt": {
+		"attempt timeout below the dial timeout": {
+			func(c *Config) { c.Classes[0].AttemptTimeout = 200 * ms },
+			"class[0].try_for",
+		},
+		"attempts after the deadline": {
+			func(c *Config) { c.Classes[0].AttemptTimeout = 2 * time.Second },
+			"class[0].try_for",
+		},
+		"hedge delay as long as the attempt timeout": {
 			func(c *Config) { c.Classes[0].AttemptTimeout, c.Classes[0].HedgeDelay = time.Second, time.Second },
 			"class[0].copy_after",
 		},
-		"a hedge, and one attempt": {
+		"hedge delay with one attempt": {
 			func(c *Config) { c.Classes[0].MaxAttempts, c.Classes[0].HedgeDelay = 1, time.Second },
 			"class[0].copy_after",
 		},
-		"a hedge, and hedging off": {
+		"hedge delay with hedging disabled": {
 			func(c *Config) { c.Classes[0].Hedging, c.Classes[0].HedgeDelay = ptr(false), time.Second },
 			"class[0].copy_after",
 		},
-		"a route never reached": {
+		"route that is never selected": {
 			func(c *Config) { c.Routes = []Route{{Path: "/a", Class: "order"}, {Path: "/a", Class: "order"}} },
 			"route[1].class",
 		},
-		"a POST that is safe": {
+		"POST route of an idempotent class": {
 			func(c *Config) { c.Routes = []Route{{Path: "/a", Method: "POST", Class: "price-check"}} },
 			"route[0].method",
 		},
@@ -312,7 +318,7 @@
 }
 
 func TestOrdinaryFileHasNoFaults(t *testing.T) {
-	if errs, warnings := faults(marketConfig()); len(errs)+len(warnings) > 0 {
+	if errs, warnings := faults(validConfig()); len(errs)+len(warnings) > 0 {
 		t.Errorf("errors %v, warnings %v", errs, warnings)
 	}
 }
@@ -356,7 +362,7 @@
 		"route[0].deadline": func(c *Config) { c.Routes = []Route{{Class: "order", Timing: Timing{Deadline: -1}}} },
 	} {
 		if errs, _ := faults(configure(set)); !hasKey(errs, key) {
-			t.Errorf("%s: %v", key, errs)
+			t.Errorf("%s: errors %v, want one for this key", key, errs)
 		}
 	}
 }
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -6,8 +6,8 @@
 	"pinedale/balancer"
 )
 
-// Timing holds the settings that a class may have and that a route of the class may override. Zero and nil are settings
-// that are absent.
+// Timing holds the settings that a class may have and that a route of the class may override. Zero or nil means that a
+// setting is absent.
 type Timing struct {
 	Deadline       time.Duration // of a client's request, including all retries
 	AttemptTimeout time.Duration
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -2,6 +2,6 @@
 // a request and the bounds within which the decision module may send, retry, hedge or reject it. The package does no
 // I/O and reads no clock.
 //
-// A configuration is compiled completely or not at all. A contradiction to a rule of a class is found by computing the
-// attempts that the configuration schedules (see Limits.Schedule) for the worst case of timers, connections and clocks.
+// A configuration is compiled completely or not at all. To find out whether it violates a rule of a class, the compiler
+// computes the attempts that it schedules (see Limits.Schedule) for the worst case of timers, connections and clocks.
 package policy
--- a/internal/policy/lookup.go
+++ b/internal/policy/lookup.go
@@ -98,7 +98,7 @@
 		strings.HasSuffix(path, "/.") || strings.HasSuffix(path, "/..")
 }
 
-// Canonical returns a header's name in the form of net/http.
+// Canonical returns a header's name in the canonical form of net/http.
 func Canonical(name string) string {
 	canonical := []byte(name)
 	upper := true
@@ -114,10 +114,10 @@
 	return string(canonical)
 }
 
-// Reason is the reason why a route was selected for a request or not.
+// Reason explains why a route was or was not selected for a request.
 type Reason struct {
-	Route    int  // index in Config.Routes
-	Selected bool // the route was selected for the request
+	Route    int // index in Config.Routes
+	Selected bool
 	Text     string
 }
 
@@ -130,14 +130,14 @@
 	return reasons
 }
 
-// explainRoute returns the reason for the route of an index. selected is the selected route, nil for none.
+// explainRoute returns the reason for the route at an index. selected is the selected route, nil for none.
 func (t *Table) explainRoute(index int, selected *routeEntry, q *Query) Reason {
 	if selected != nil && selected.route == index {
-		return Reason{Route: index, Selected: true, Text: "it matches, and none is more specific"}
+		return Reason{Route: index, Selected: true, Text: "matches, and no other matching route is more specific"}
 	}
 	text := t.config.Routes[index].mismatch(q)
 	if text == "" {
-		text = fmt.Sprintf("it matches, and route[%d] is more specific or stands before it", selected.route)
+		text = fmt.Sprintf("matches, but route[%d] is more specific or earlier in the file", selected.route)
 	}
 	return Reason{Route: index, Text: text}
 }
@@ -161,7 +161,7 @@
 	for name, value := range r.Headers {
 		values := q.Header[Canonical(name)]
 		if len(values) != 1 {
-			return fmt.Sprintf("the header %s is there %d times, must be once", name, len(values))
+			return fmt.Sprintf("the header %s occurs %d times, must occur once", name, len(values))
 		}
 		if values[0] != value {
 			return fmt.Sprintf("the header %s is %q, not %q", name, values[0], value)
--- a/internal/policy/lookup_test.go
+++ b/internal/policy/lookup_test.go
@@ -104,13 +104,13 @@
 // Lookup selects the route that a linear search finds, and Explain agrees on each route.
 func TestLookupMatchesLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config := marketConfig()
+		config := validConfig()
 		drawRoutes(t, config)
 		table, compileFaults := Compile(config, nil)
 		if table == nil { // overlapping routes, between which a linear search cannot decide either
 			isOverlap := func(f Fault) bool { return strings.Contains(f.Reason, "rule overlap") }
 			if !slices.ContainsFunc(compileFaults, isOverlap) {
-				t.Fatalf("rejected for %v", compileFaults)
+				t.Fatalf("configuration rejected without an overlap of routes: %v", compileFaults)
 			}
 			return
 		}
@@ -119,7 +119,7 @@
 			want := linearSearch(config, q)
 			got, ok := table.Lookup(q)
 			if ok != (want >= 0) || ok && got.ClassName != config.Routes[want].Class {
-				t.Fatalf("%+v: %+v, want route %d of %+v", q, got, want, config.Routes)
+				t.Fatalf("request %+v: got bounds %+v, want route %d of %+v", q, got, want, config.Routes)
 			}
 			checkExplanation(t, table, q, want)
 		}
@@ -136,14 +136,14 @@
 			valid = routes[i].mismatch(q) == "" && routes[i].Class == routes[want].Class
 		}
 		if reason.Route != i || !valid {
-			t.Fatalf("%+v: %+v, want route %d", q, reason, want)
+			t.Fatalf("request %+v: got reason %+v, want route %d", q, reason, want)
 		}
 	}
 }
 
 // manyRoutes returns a table of n routes, and a request for each.
 func manyRoutes(n int) (*Table, []*Query) {
-	config := marketConfig()
+	config := validConfig()
 	var queries []*Query
 	for i := range n {
 		route := Route{Class: config.Classes[i%4].Name, Prefix: fmt.Sprintf("/shop/%d/items", i)}
@@ -171,10 +171,10 @@
 // Lookup among 10,000 routes finds the matching one and does not allocate memory.
 func TestLookupOfManyRoutesDoesNotAllocate(t *testing.T) {
 	table, queries := manyRoutes(10_000)
-	classes := marketConfig().Classes
+	classes := validConfig().Classes
 	for i, q := range queries {
 		if bounds, ok := table.Lookup(q); !ok || bounds.ClassName != classes[i%4].Name {
-			t.Fatalf("request %d: %+v", i, bounds)
+			t.Fatalf("request %d: wrong bounds %+v", i, bounds)
 		}
 	}
 	index := 0
@@ -183,10 +183,10 @@
 		index++
 	})
 	if allocations != 0 {
-		t.Errorf("%v allocations", allocations)
+		t.Errorf("%v allocations per lookup, want 0", allocations)
 	}
 	if n := len(table.Rows()); n != 10_004 {
-		t.Errorf("%d rows", n)
+		t.Errorf("table has %d rows, want 10_004", n)
 	}
 }
 
@@ -220,7 +220,7 @@
 			}
 		}
 		if ok != (bounds != nil) || ok != (selected == 1) {
-			t.Errorf("%v, %d selected", bounds, selected)
+			t.Errorf("Lookup returned %v, Explain selected %d routes", bounds, selected)
 		}
 	})
 }
--- a/internal/policy/rows.go
+++ b/internal/policy/rows.go
@@ -16,10 +16,10 @@
 	Class          string  `json:"class"`
 	Pool           string  `json:"pool,omitempty"`
 	Deadline       string  `json:"deadline"`
-	AttemptTimeout string  `json:"try_for,omitempty"` // attempt timeout
+	AttemptTimeout string  `json:"try_for,omitempty"`
 	Attempts       int     `json:"attempts"`
 	HedgeDelay     string  `json:"copy_after,omitempty"` // hedge delay or quantile
-	Hedging        bool    `json:"second_copies"`        // hedging
+	Hedging        bool    `json:"second_copies"`
 	RetryRatio     float64 `json:"retry_share"`
 	RetryBurst     float64 `json:"retry_burst"`
 }
--- a/internal/policy/schedule.go
+++ b/internal/policy/schedule.go
@@ -27,7 +27,7 @@
 	}
 	if settings.Class.Clients == ClientsRetryFailed {
 		repeats = append(repeats, ScheduledRepeat{
-			Description: fmt.Sprintf("a client that comes again within its %v", settings.Deadline),
+			Description: fmt.Sprintf("a client that comes again within its deadline of %v", settings.Deadline),
 			Key:         "deadline",
 			At:          settings.Deadline + l.TimerSlack + l.DialTimeout,
 		})
@@ -35,7 +35,7 @@
 	return repeats
 }
 
-// scheduledAttempts returns the attempts after timeouts. None begins after the deadline.
+// scheduledAttempts returns the attempts after timeouts. No attempt begins after the deadline.
 func (l *Limits) scheduledAttempts(settings Effective) (repeats []ScheduledRepeat) {
 	timeout := settings.AttemptTimeout
 	for timeouts := 1; timeouts < settings.MaxAttempts; timeouts++ {
@@ -44,7 +44,7 @@
 			break
 		}
 		repeats = append(repeats, ScheduledRepeat{
-			Description: fmt.Sprintf("attempt %d, after %d time-outs of %v", timeouts+1, timeouts, timeout),
+			Description: fmt.Sprintf("attempt %d (after %d timeouts of %v)", timeouts+1, timeouts, timeout),
 			Key:         "try_for",
 			At:          start + l.DialTimeout,
 		})
--- a/internal/policy/schedule_test.go
+++ b/internal/policy/schedule_test.go
@@ -11,15 +11,15 @@
 	"pinedale/balancer"
 )
 
-// playedSchedule is the result of playSchedule.
-type playedSchedule struct {
+// simulatedSchedule is the result of simulateSchedule.
+type simulatedSchedule struct {
 	latestRepeat time.Duration // latest time at which a repeat may reach a server, by the server's clock
 	hedged       bool
 }
 
-// playSchedule simulates the schedule of a configuration step by step with maximum delays. It shares no code with
+// simulateSchedule simulates the schedule of a configuration step by step with maximum delays. It shares no code with
 // Limits.Schedule, which computes the times.
-func playSchedule(limits *Limits, settings Effective) (result playedSchedule) {
+func simulateSchedule(limits *Limits, settings Effective) (result simulatedSchedule) {
 	const step = 10 * time.Millisecond // all drawn durations are multiples
 	latest := time.Duration(0)
 	sends := 1
@@ -88,7 +88,7 @@
 // violatedScheduleRule returns the rule that the schedule of a class or route violates, "" for none.
 func violatedScheduleRule(limits *Limits, settings Effective) string {
 	class := settings.Class
-	schedule := playSchedule(limits, settings)
+	schedule := simulateSchedule(limits, settings)
 	if class.Idempotency == balancer.IdempotentWithKey && schedule.latestRepeat >= class.DedupWindow {
 		return fmt.Sprintf("a repeat of %s after %v", class.Name, schedule.latestRepeat)
 	}
@@ -129,8 +129,8 @@
 	}
 }
 
-// With any accepted configuration and any outcomes and delays, no request runs twice that must not, and every request
-// gets one response.
+// With any accepted configuration and any outcomes and delays, no request runs twice unless its class permits it, and
+// every request gets one response.
 func TestAcceptedConfigKeepsRulesOfItsClasses(t *testing.T) {
 	simulated := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -144,7 +144,7 @@
 		for i := range rapid.IntRange(1, 12).Draw(t, "requests") {
 			bounds, ok := table.Lookup(&Query{Method: "POST", Path: []string{"/a", "/b"}[i%2]})
 			if !ok {
-				t.Fatal("no route")
+				t.Fatal("no route matches the request")
 			}
 			class := config.class(bounds.ClassName)
 			sendAt := time.Duration(rapid.IntRange(0, 20).Draw(t, "at")) * 100 * time.Millisecond
@@ -186,11 +186,11 @@
 		t.Fatal(compileFaults)
 	}
 	if got := table.Classes()[0].DedupWindow; got != 600_000 {
-		t.Errorf("the module's window is %d, want 1 s less a connection of 400 ms", got)
+		t.Errorf("the module's window is %d µs, want 1 s less a connection of 400 ms", got)
 	}
 }
 
-func TestPlayedScheduleFindsLateRepeat(t *testing.T) {
+func TestSimulatedScheduleFindsLateRepeat(t *testing.T) {
 	violation := violatedRule(slowConnectionConfig(700 * time.Millisecond))
 	if !strings.Contains(violation, "a repeat of pay after 1.1s") {
 		t.Errorf("violated rule %q, want a late repeat", violation)
--- a/internal/policy/simulation_test.go
+++ b/internal/policy/simulation_test.go
@@ -11,9 +11,9 @@
 	"pinedale/balancer"
 )
 
-// simulation runs the decision module within the bounds of a table in virtual time. Outcomes and delays are drawn;
-// connections, timers and clocks are at worst as the configuration permits. The servers drop repeats by real time, and
-// the simulation fails if a request runs twice that must not.
+// simulation runs the decision module within the bounds of a table in virtual time. Outcomes and delays are drawn, and
+// the delays and the clock error do not exceed the limits of the configuration. The servers drop repeats by real time,
+// and the simulation fails if a request runs twice although its class does not permit it.
 type simulation struct {
 	t         *rapid.T
 	config    *Config
@@ -126,7 +126,8 @@
 	return epoch + balancer.Micros(float64(s.now.Microseconds())/(1+s.config.Limits.ClockError))
 }
 
-// realTime returns the real time that a duration of the module's clock takes. Like a timer, it is never shorter.
+// realTime returns the real time that a duration of the module's clock takes. It is rounded up, because timers never
+// fire early.
 func (s *simulation) realTime(duration balancer.Micros) time.Duration {
 	return time.Duration(float64(duration)*(1+s.config.Limits.ClockError)+2) * time.Microsecond
 }
@@ -224,7 +225,7 @@
 	})
 }
 
-// execute runs a request on a server, which drops it if it is a repeat.
+// execute runs a request on a server, which drops the request if it is a repeat.
 func (s *simulation) execute(request *clientRequest, endpoint uint32) {
 	class := request.class
 	scope := request.key
--- a/internal/policy/table_test.go
+++ b/internal/policy/table_test.go
@@ -13,7 +13,7 @@
 // firstReload and secondReload return two versions of a file. In the second one a class is removed, one is changed and
 // one is added, and tenants and pools are replaced.
 func firstReload() *Config {
-	config := marketConfig()
+	config := validConfig()
 	config.Classes[classPay].RetryRatio = ptr(0.5)
 	config.Tenants = []Tenant{{Name: "x", Weight: 1}, {Name: "y", Weight: 1}}
 	config.Pools = []Pool{{Name: "p", Kinds: []string{"big"}}, {Name: "q", Sites: []string{"dar"}}}
@@ -21,7 +21,7 @@
 }
 
 func secondReload() *Config {
-	config := marketConfig()
+	config := validConfig()
 	config.Classes = slices.Delete(config.Classes, classPrices, classPrices+1)
 	config.Classes[0].DedupWindow = 2 * time.Second
 	config.Classes[0].RetryRatio = ptr(0.1)
@@ -69,15 +69,15 @@
 	}
 }
 
-// A file is rejected if it has more classes, together with earlier files, than the decision module can number.
+// A file is rejected if its classes and those of earlier files are more than the decision module can number.
 func TestTooManyClassesAfterReloadsAreRejected(t *testing.T) {
 	previous, _ := Compile(firstReload(), nil)
 	for i := range 300 {
-		config := marketConfig()
+		config := validConfig()
 		config.Classes[0].LatencyObjective = time.Duration(i+1) * ms
 		next, compileFaults := Compile(config, previous)
 		if next == nil {
-			if i < 200 || !strings.Contains(fmt.Sprint(compileFaults), "start anew") {
+			if i < 200 || !strings.Contains(fmt.Sprint(compileFaults), "restart the process") {
 				t.Errorf("file %d: %v", i, compileFaults)
 			}
 			return
