--- a/internal/routing/decision.go
+++ b/internal/routing/decision.go
@@ -2,8 +2,8 @@
 
 import "pinedale/balancer"
 
-// AttemptScheduled handles the module's decision to send the next attempt of a round. ref is the host's: it comes back
-// with the Forward.
+// AttemptScheduled handles the module's decision to send the next attempt of a round. ref is a value of the host that
+// the Forward response contains.
 func (l *Ledger) AttemptScheduled(now Micros, roundID uint64, location Location, ref any) {
 	r := l.rounds[roundID]
 	index := len(r.attempts)
@@ -43,9 +43,9 @@
 	l.release(now, r.entry)
 }
 
-// AttemptCancelled handles that the module no longer waits for an attempt. If a caller still waits for the endpoint
-// when the deadline has passed, the attempt counts as timed out; else nothing counts against the endpoint. It must
-// not be called from within an action.
+// AttemptCancelled handles the module's cancellation of an attempt. If a caller still waits for the endpoint when the
+// deadline has passed, the attempt counts as timed out. Otherwise nothing counts against the endpoint. It must not be
+// called from within an action.
 func (l *Ledger) AttemptCancelled(now Micros, roundID uint64, index int) {
 	r := l.rounds[roundID]
 	if r == nil || index >= len(r.attempts) || r.attempts[index].completed {
--- a/internal/routing/expiry.go
+++ b/internal/routing/expiry.go
@@ -13,7 +13,7 @@
 	attempt int // index within round
 }
 
-// entryExpiry is an entry that may be removed at some time.
+// entryExpiry is an entry with the time from which it may be removed.
 type entryExpiry struct {
 	expires Micros
 	entry   *entry
@@ -25,8 +25,8 @@
 	return l.limits.Classes[class].ClientTimeout + l.limits.Classes[class].DedupWindow
 }
 
-// release removes an entry that has no stream, or schedules its expiry if an attempt may have run that must not be
-// repeated freely.
+// release removes an entry that has no stream. If an attempt may have run that must not be repeated freely, release
+// schedules the expiry of the entry instead.
 func (l *Ledger) release(now Micros, e *entry) {
 	if e.streams > 0 || e.expiryScheduled || e.round != nil && !e.round.answered {
 		return
@@ -39,8 +39,8 @@
 	delete(l.entries, e.key)
 }
 
-// Tick ends offers that no stream claimed in time and removes entries that have expired. It is due at least every
-// OfferTimeout while the ledger holds anything.
+// Tick cancels offers that no stream claimed in time and removes entries that have expired. The host must call it at
+// least every OfferTimeout while the ledger is not empty.
 func (l *Ledger) Tick(now Micros) {
 	l.expireOffers(now)
 	for class := range l.expiries {
@@ -69,7 +69,7 @@
 		l.expiries[class] = l.expiries[class][1:]
 		e.expiryScheduled = false
 		if e.lastClosed+l.retention(e.class) > now {
-			l.release(now, e) // another stream used it meanwhile
+			l.release(now, e) // another stream has used the entry in the meantime
 		} else if e.streams == 0 && (e.round == nil || e.round.answered) {
 			delete(l.entries, e.key)
 		}
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -51,13 +51,13 @@
 	},
 }
 
-// testRef is what the harness passes to AttemptScheduled.
+// testRef is the value that the harness passes to AttemptScheduled.
 type testRef struct {
 	endpoint uint32
 	round    uint64
 }
 
-// harness joins a ledger to a real decision module, without sockets or a clock.
+// harness connects a ledger to a real decision module, without sockets or a clock.
 type harness struct {
 	t        reporter
 	now      Micros
@@ -144,16 +144,16 @@
 // cell returns the cell of an endpoint.
 func cell(endpoint uint32) uint16 { return uint16(endpoint-1) / 2 }
 
-// call runs a call into the module, and then the calls that were deferred meanwhile.
+// call runs a call into the module, and then the calls that were deferred during it.
 func (h *harness) call(callModule func()) {
 	h.depth++
 	callModule()
 	h.depth--
-	h.settle()
+	h.runDeferred()
 }
 
-// settle runs deferred calls, unless a call into the module is at work.
-func (h *harness) settle() {
+// runDeferred runs deferred calls, unless a call into the module is in progress.
+func (h *harness) runDeferred() {
 	for h.depth == 0 && len(h.deferred) > 0 {
 		calls := h.deferred
 		h.deferred = nil
@@ -178,11 +178,11 @@
 			}
 		}
 		h.ledger.Tick(h.now)
-		h.settle()
+		h.runDeferred()
 	}
 }
 
-// moduleActions is the harness as the host of the decision module.
+// moduleActions implements the actions of the decision module for the harness.
 type moduleActions harness
 
 func (m *moduleActions) Send(id uint64, endpoint uint32, _, _ Micros) {
@@ -223,7 +223,7 @@
 
 func (h *harness) CompleteAttempt(round uint64, index int, outcome Outcome, settled bool) {
 	if h.depth > 0 {
-		h.t.Errorf("an attempt is completed from within a call of the module")
+		h.t.Errorf("attempt %d of round %d is completed from within a call of the module", index, round)
 	}
 	key := fmt.Sprint(round, " ", index)
 	h.completions[key]++
@@ -266,13 +266,13 @@
 	}
 }
 
-// request requests a decision and returns the response, which must come at once.
+// request requests a decision and returns the response, which must arrive within the call.
 func (h *harness) request(req Request) Response {
 	h.t.Helper()
 	h.ledger.HandleRequest(h.now, req)
-	h.settle()
+	h.runDeferred()
 	if count := len(h.responses[req.Stream]); count != 1 {
-		h.t.Fatalf("stream %d got %d responses", req.Stream, count)
+		h.t.Fatalf("stream %d got %d responses, want 1", req.Stream, count)
 	}
 	return h.responses[req.Stream][0]
 }
@@ -280,14 +280,14 @@
 // report reports the outcome of a stream's attempt and returns the response.
 func (h *harness) report(stream StreamID, status balancer.Status) Response {
 	response := h.ledger.HandleReport(stream, Outcome{Status: status})
-	h.settle()
+	h.runDeferred()
 	return response
 }
 
 // closeStream closes a stream.
 func (h *harness) closeStream(stream StreamID, undelivered bool) {
 	h.ledger.StreamClosed(h.now, stream, undelivered)
-	h.settle()
+	h.runDeferred()
 }
 
 // checkEmpty fails the test if the ledger or the module still holds anything.
@@ -295,7 +295,7 @@
 	h.t.Helper()
 	streams, rounds, entries := h.ledger.Counts()
 	if streams+rounds+entries > 0 || len(h.open) > 0 || len(h.ledger.requestIDs) > 0 {
-		h.t.Errorf("held at the end: %d streams, %d rounds, %d entries, %d ids, %d attempts", streams, rounds, entries,
+		h.t.Errorf("still held: %d streams, %d rounds, %d entries, %d request IDs, %d attempts", streams, rounds, entries,
 			len(h.ledger.requestIDs), len(h.open))
 	}
 }
--- a/internal/routing/ledger.go
+++ b/internal/routing/ledger.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// capacityRetryAfter is the Retry-After of AtCapacity: long enough for entries to expire, whose retention is a
-	// matter of seconds.
+	// capacityRetryAfter is the Retry-After of AtCapacity. Entries are retained for a few seconds, so that some of
+	// them expire within it.
 	capacityRetryAfter Micros = 1_000_000
 
 	// maxRequestsPerEntry bounds the request IDs that are counted separately within an entry. A client that makes
@@ -16,7 +16,7 @@
 	maxRequestsPerEntry = 16
 )
 
-// Ledger keeps the streams, rounds and entries of a front. Make one with New.
+// Ledger keeps the streams, rounds and entries of a front. New returns an empty one.
 type Ledger struct {
 	limits    Limits
 	actions   Actions
@@ -40,15 +40,15 @@
 type stream struct {
 	id        StreamID
 	requestID string
-	entry     *entry // nil if the request was turned down before it got one
+	entry     *entry // nil if the request was rejected without an entry
 	round     *round // of the attempt that was forwarded to it, nil before
 	attempt   int    // index within round
 	reported  bool
 }
 
-// entry is what streams share that mean the same effect.
+// entry is the state that is shared by all streams that request the same effect.
 type entry struct {
-	key             string // as by entryKey
+	key             string // see entryKey
 	fingerprint     uint64
 	class           uint8
 	round           *round
@@ -56,8 +56,8 @@
 	streams         int               // open
 	requests        []requestForwards // of the client
 	unknownEndpoint bool              // an endpoint that is not in the list has served the request
-	expiryScheduled bool              // it stands in Ledger.expiries
-	lastClosed      Micros            // when a stream of it was closed last
+	expiryScheduled bool              // the entry is in Ledger.expiries
+	lastClosed      Micros            // latest time at which one of its streams was closed
 
 	previousMayHaveRun bool // an attempt of an earlier round may have run
 	previous           balancer.PreviousAttempt
@@ -82,7 +82,7 @@
 	}
 }
 
-// SetClasses replaces the classes. The numbers of the classes before stay valid.
+// SetClasses replaces the classes. The numbers of the previous classes stay valid.
 func (l *Ledger) SetClasses(all []balancer.Class) {
 	l.limits.Classes = all
 	for len(l.expiries) < len(all) {
@@ -98,7 +98,7 @@
 // class returns the class of an entry.
 func (l *Ledger) class(e *entry) *balancer.Class { return &l.limits.Classes[e.class] }
 
-// entryKey returns the key of the entry that a request belongs to: requests with equal keys mean the same effect.
+// entryKey returns the key of the entry that a request belongs to. Requests with the same key request the same effect.
 func entryKey(req *Request) string {
 	if req.Key != "" {
 		return "k" + req.Tenant + "\x00" + req.Key
@@ -124,14 +124,14 @@
 	case r.succeeded != noAttempt && l.class(e).Idempotency != balancer.Idempotent:
 		l.replay(now, r, r.succeeded, s)
 	case r.requestID == req.ID && r.hasFinal():
-		l.actions.Respond(s.id, r.final) // the final answer to this request stands
+		l.actions.Respond(s.id, r.final) // the final answer to this request is repeated
 	default:
 		l.startRound(e, s, &req)
 	}
 }
 
-// entryFor returns the entry that a request belongs to, and makes one if there is none. If the request must not
-// share the entry, or there is no capacity for a new one, it returns nil and the response.
+// entryFor returns the entry that a request belongs to, and creates it if there is none. If the request must not share
+// the entry, or there is no capacity for a new one, entryFor returns nil and the response.
 func (l *Ledger) entryFor(req *Request) (*entry, Response) {
 	key := entryKey(req)
 	e := l.entries[key]
@@ -178,8 +178,8 @@
 	e.waiting = slices.DeleteFunc(e.waiting, func(other *stream) bool { return other == s })
 }
 
-// StreamClosed handles the end of a stream, closed or broken off. undelivered says that a Forward certainly never
-// reached the caller.
+// StreamClosed handles the end of a stream, whether it was closed or broken off. undelivered is set if it is certain
+// that a Forward never reached the caller.
 func (l *Ledger) StreamClosed(now Micros, id StreamID, undelivered bool) {
 	s := l.streams[id]
 	delete(l.streams, id)
@@ -192,7 +192,7 @@
 		a := &s.round.attempts[s.attempt]
 		a.waiting--
 		if undelivered && !a.completed {
-			a.takeBack()
+			a.undoForward()
 			e.forwardsOf(s.requestID).forwards--
 		}
 	}
@@ -202,7 +202,7 @@
 	l.release(now, e)
 }
 
-// forwardsOf returns the counter of one request of the entry, nil if it would be one too many.
+// forwardsOf returns the counter of one request of the entry, nil if the entry has no capacity for another request.
 func (e *entry) forwardsOf(requestID string) *requestForwards {
 	for i := range e.requests {
 		if e.requests[i].id == requestID {
--- a/internal/routing/ledger_test.go
+++ b/internal/routing/ledger_test.go
@@ -7,7 +7,7 @@
 	"pinedale/balancer"
 )
 
-// A second request for the same effect gets the same endpoint while that deduplicates repeats, or a conflict.
+// A second request for the same effect gets the same endpoint while that drops repeats, or a conflict.
 func TestSecondRequestGetsSameEndpointOrConflict(t *testing.T) {
 	closeStream := func(h *harness) { h.closeStream(1, false) }
 	closeUndelivered := func(h *harness) { h.closeStream(1, true) }
@@ -34,8 +34,8 @@
 		{"after the outcome", classPay, "2", succeed, Forward, true},
 		{"after the outcome, by the same id", classPay, "1", succeed, Forward, true},
 		{"after the window", classPay, "2", succeedAndAdvance, Conflict, false},
-		{"the cell remembers for longer", classClose, "2", succeedAndAdvance, Forward, true},
-		{"after the window, still open", classPay, "2", func(h *harness) { h.advance(1_600_000) }, Conflict, false},
+		{"within the longer window of one cell", classClose, "2", succeedAndAdvance, Forward, true},
+		{"after the window, without an outcome", classPay, "2", func(h *harness) { h.advance(1_600_000) }, Conflict, false},
 		{"the stream was closed without a report", classClose, "2", closeStream, Forward, false},
 		{"idempotent, at once", classRead, "1", nil, Forward, true},
 		{"not idempotent, at once", classOrder, "1", nil, Conflict, false},
@@ -43,7 +43,7 @@
 		{"not idempotent, the stream was closed without a report", classOrder, "1", closeStream, Conflict, false},
 		{"not idempotent, the forward was not delivered", classOrder, "1", closeUndelivered, Forward, false},
 		{"not idempotent, rejected by the endpoint", classOrder, "1", reject, Forward, false},
-		{"its endpoint is retired", classPay, "2", func(h *harness) {
+		{"all endpoints are retired", classPay, "2", func(h *harness) {
 			for i := range uint32(7) {
 				h.retired[i] = true
 			}
@@ -57,20 +57,20 @@
 			}
 			first := h.request(h.newRequest(1, c.class, "1", key))
 			if first.Kind != Forward {
-				t.Fatalf("the first response: %+v", first)
+				t.Fatalf("first response %+v, want a Forward", first)
 			}
 			if c.after != nil {
 				c.after(h)
 			}
 			got := h.request(h.newRequest(2, c.class, c.id, key))
 			if got.Kind != c.want {
-				t.Fatalf("the second response: %+v, want kind %v", got, c.want)
+				t.Fatalf("second response %+v, want kind %v", got, c.want)
 			}
 			if c.sameEndpoint && endpointOf(got) != endpointOf(first) {
-				t.Errorf("endpoint %d, then %d", endpointOf(first), endpointOf(got))
+				t.Errorf("forwarded to endpoint %d, then to %d", endpointOf(first), endpointOf(got))
 			}
 			if got.Kind == Forward && c.class == classClose && cell(endpointOf(got)) != cell(endpointOf(first)) {
-				t.Errorf("endpoint %d, then %d: of another cell", endpointOf(first), endpointOf(got))
+				t.Errorf("forwarded to endpoint %d, then to %d of another cell", endpointOf(first), endpointOf(got))
 			}
 			h.closeStream(1, false)
 			h.closeStream(2, false)
@@ -80,17 +80,17 @@
 	}
 }
 
-// Another request under a key or an ID in use is rejected, and nothing is forwarded.
+// Another request with a key or an ID in use is rejected, and nothing is forwarded.
 func TestKeyReuseForAnotherRequestIsRejected(t *testing.T) {
 	h := newHarness(t, nil)
 	h.request(h.newRequest(1, classPay, "1", "k"))
 	other := h.newRequest(2, classPay, "2", "k")
 	other.Fingerprint = 2
 	if got := h.request(other); got.Kind != KeyReused || got.Reason != reasonKeyReused {
-		t.Errorf("another request under the key: %+v", got)
+		t.Errorf("another request with the same key: %+v", got)
 	}
 	if got := h.request(h.newRequest(3, classPay, "1", "k2")); got.Kind != KeyReused || got.Reason != reasonIDInUse {
-		t.Errorf("another key under the id: %+v", got)
+		t.Errorf("another key with the same ID: %+v", got)
 	}
 	tenant := h.newRequest(4, classPay, "4", "k")
 	tenant.Tenant = "acme"
@@ -99,7 +99,7 @@
 		t.Errorf("the same key of another tenant: %+v", got)
 	}
 	if got := h.ledger.HandleReport(2, Outcome{Status: balancer.OK}); got.Kind != PassThrough || len(h.completions) != 0 {
-		t.Error("a report counted on a stream that was given no endpoint")
+		t.Error("a report counted on a stream that was not forwarded an attempt")
 	}
 	for id := StreamID(1); id <= 4; id++ {
 		h.closeStream(id, false)
@@ -108,8 +108,8 @@
 	h.checkEmpty()
 }
 
-// A stream that is closed before its forward was delivered leaves nothing behind. One that is closed later, without a
-// report, leaves only the entry of a request that may have run.
+// A stream that is closed before its forward was delivered leaves no state in the ledger. A stream that is closed later
+// without a report leaves only the entry of a request that may have run.
 func TestStreamClosedWithoutReportKeepsOnlyWhatMayHaveRun(t *testing.T) {
 	h := newHarness(t, nil)
 	h.request(h.newRequest(1, classPay, "1", "k"))
@@ -118,19 +118,19 @@
 	h.request(h.newRequest(2, classOrder, "2", ""))
 	h.closeStream(2, false)
 	if len(h.open) != 0 {
-		t.Error("the attempt is still counted in flight")
+		t.Error("the attempt of a closed stream is still counted in flight")
 	}
 	if _, _, entries := h.ledger.Counts(); entries != 1 {
-		t.Errorf("%d entries, want the one that may have run", entries)
+		t.Errorf("%d entries, want 1, of the request that may have run", entries)
 	}
 	// A stream that stays open and never reports: the deadline releases all but the entry.
 	h.request(h.newRequest(3, classPay, "3", "k3"))
 	h.advance(2 * second)
 	if _, rounds, _ := h.ledger.Counts(); rounds != 0 || len(h.open) != 0 {
-		t.Errorf("after the deadline: %d rounds, %d attempts", rounds, len(h.open))
+		t.Errorf("%d rounds and %d attempts after the deadline, want none", rounds, len(h.open))
 	}
 	if got := h.report(3, balancer.Error); got.Kind != Reject && got.Kind != Fail {
-		t.Errorf("a report after the deadline: %+v, want the final answer", got)
+		t.Errorf("report after the deadline: response %+v, want the final answer", got)
 	}
 	h.closeStream(3, false)
 	h.advance(30 * second)
@@ -161,7 +161,7 @@
 		t.Errorf("endpoints %v, want three", used)
 	}
 	if got := h.request(h.newRequest(9, classPay, "1", "k")); got.Kind != Reject {
-		t.Errorf("once more: %+v, want the final answer again", got)
+		t.Errorf("request after the last attempt: response %+v, want the final answer again", got)
 	}
 	h.closeStream(9, false)
 	for _, c := range []struct {
@@ -182,7 +182,7 @@
 		}
 		h.request(h.newRequest(20, c.class, "20", key))
 		if got := h.report(20, c.status); got.Kind != c.want {
-			t.Errorf("class %d after %v: %+v, want %v", c.class, c.status, got, c.want)
+			t.Errorf("class %d, report of %v: response %+v, want kind %v", c.class, c.status, got, c.want)
 		}
 		h.closeStream(20, false)
 		delete(h.responses, 20)
@@ -203,7 +203,7 @@
 	h.checkEmpty()
 }
 
-// Where callers do not retry, the module knows it and gives its final answer at once.
+// If callers do not retry, the module gives its final answer at once.
 func TestFailureIsFinalWhereCallersDoNotRetry(t *testing.T) {
 	h := newHarness(t, func(l *Limits) { l.CallersRetry = false })
 	wantByClass := map[uint8]ResponseKind{classRead: Reject, classOrder: Fail, classPay: Reject, classClose: Fail}
@@ -215,7 +215,7 @@
 		}
 		h.request(h.newRequest(id, class, fmt.Sprint(class), key))
 		if got := h.report(id, balancer.Error); got.Kind != want {
-			t.Errorf("class %d: %+v, want %v", class, got, want)
+			t.Errorf("class %d: response %+v, want kind %v", class, got, want)
 		}
 		h.closeStream(id, false)
 	}
@@ -223,14 +223,15 @@
 	h.checkEmpty()
 }
 
-// If an endpoint is retired before a forward is delivered, or before an offer is claimed, the module decides anew.
+// If an endpoint is retired before a forward is delivered, or before an offer is claimed, the module makes a new
+// decision.
 func TestEndpointRetiredBeforeForwardIsReplaced(t *testing.T) {
 	h := newHarness(t, nil)
 	first := h.request(h.newRequest(1, classOrder, "1", ""))
 	h.retired[endpointOf(first)] = true
 	h.responses[1] = nil
 	h.ledger.ForwardDiscarded(1)
-	h.settle()
+	h.runDeferred()
 	got := h.responses[1]
 	if len(got) != 1 || got[0].Kind != Forward || endpointOf(got[0]) == endpointOf(first) {
 		t.Fatalf("responses %+v after endpoint %d was retired", got, endpointOf(first))
@@ -250,7 +251,7 @@
 	h.checkEmpty()
 }
 
-// Proof that one forward never ran proves nothing of another forward of the same attempt.
+// Proof that one forward never ran does not prove that another forward of the same attempt never ran.
 func TestReportOfOneForwardProvesNothingOfTheOther(t *testing.T) {
 	h := newHarness(t, nil)
 	h.request(h.newRequest(1, classClose, "1", "k"))
@@ -261,15 +262,15 @@
 	h.advance(OfferTimeout + 20_000)
 	h.request(h.newRequest(3, classClose, "3", "k"))
 	if latest := h.started[len(h.started)-1]; !latest.MayHaveRun {
-		t.Error("the next round may go anywhere, though an attempt may have run")
+		t.Error("the next round is not restricted, although an attempt may have run")
 	}
 	h.closeStream(3, false)
 	h.advance(30 * second)
 	h.checkEmpty()
 }
 
-// The outcome counts for the endpoint that served the attempt. An endpoint that is not in the list settles the
-// request, and it is not forwarded again.
+// The outcome counts for the endpoint that served the attempt. A request that was served by an endpoint that is not in
+// the list is not forwarded again.
 func TestOutcomeCountsForEndpointThatServed(t *testing.T) {
 	h := newHarness(t, nil)
 	first := h.request(h.newRequest(1, classClose, "1", "k"))
@@ -279,11 +280,11 @@
 	}
 	outcome := Outcome{Status: balancer.Error, Endpoint: other, Location: Location{Cell: cell(other)}}
 	got := h.ledger.HandleReport(1, outcome)
-	h.settle()
+	h.runDeferred()
 	h.closeStream(1, false)
 	if got.Kind == RetryAllowed {
 		if next := h.request(h.newRequest(2, classClose, "1", "k")); cell(endpointOf(next)) != cell(other) {
-			t.Errorf("the next endpoint %d is not of the cell of %d, which served", endpointOf(next), other)
+			t.Errorf("next endpoint %d is not in the cell of endpoint %d, which served the attempt", endpointOf(next), other)
 		}
 		h.closeStream(2, false)
 	} else {
@@ -291,12 +292,12 @@
 	}
 	h.request(h.newRequest(3, classPay, "3", "k3"))
 	if got := h.ledger.HandleReport(3, Outcome{Status: balancer.OK, UnknownEndpoint: true}); got.Kind != PassThrough {
-		t.Errorf("served by an unknown endpoint: %+v", got)
+		t.Errorf("report of an unknown endpoint: response %+v, want PassThrough", got)
 	}
 	h.closeStream(3, false)
 	got = h.request(h.newRequest(4, classPay, "4", "k3"))
 	if got.Kind != Conflict || got.Reason != reasonUnknownEndpoint {
-		t.Errorf("requested again: %+v", got)
+		t.Errorf("request after an unknown endpoint served it: response %+v, want a Conflict", got)
 	}
 	h.closeStream(4, false)
 	h.advance(30 * second)
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -11,8 +11,8 @@
 	_ "pinedale/internal/standin/seeds"
 )
 
-// effect is what the model knows of one idempotency key, or of one request ID where there is no key: every forward,
-// and whether it may have run.
+// effect is the model's record of one idempotency key, or of one request ID where there is no key: every forward, and
+// whether it may have run.
 type effect struct {
 	class      uint8
 	forwards   []*forwarded
@@ -49,7 +49,7 @@
 // modelMaxAttempts is how often the harness lets one request be forwarded.
 const modelMaxAttempts = 3
 
-// model plays random callers against a ledger, and checks what the ledger does by plain rules.
+// model simulates random callers of a ledger, and checks the ledger's actions by a simple reference implementation.
 type model struct {
 	t          *rapid.T
 	harness    *harness
@@ -73,7 +73,7 @@
 func (m *model) stream(id StreamID) *modelStream {
 	index := slices.IndexFunc(m.streams, func(open *modelStream) bool { return open.id == id })
 	if index < 0 {
-		m.t.Fatalf("stream %d got a response and is not open", id)
+		m.t.Fatalf("stream %d got a response but is not open", id)
 	}
 	return m.streams[index]
 }
@@ -88,7 +88,7 @@
 	stream := m.stream(id)
 	effect := m.effects[stream.effect]
 	if m.harness.retired[ref.endpoint] {
-		m.t.Fatalf("stream %d was forwarded to %d, which is retired", id, ref.endpoint)
+		m.t.Fatalf("stream %d was forwarded to endpoint %d, which is retired", id, ref.endpoint)
 	}
 	if first := effect.firstThatMayHaveRun(); first != nil {
 		m.checkRepeat(id, classes[effect.class], first, ref.endpoint)
@@ -98,11 +98,11 @@
 	requestID := stream.request.ID
 	effect.byID[requestID]++
 	if count := effect.byID[requestID]; count > modelMaxAttempts {
-		m.t.Fatalf("request %s was forwarded %d times", requestID, count)
+		m.t.Fatalf("request %s was forwarded %d times, more than its maximum", requestID, count)
 	}
 }
 
-// checkRepeat checks that an effect may be forwarded to an endpoint though an earlier forward may have run.
+// checkRepeat checks that an effect may be forwarded to an endpoint although an earlier forward may have run.
 func (m *model) checkRepeat(id StreamID, class balancer.Class, first *forwarded, endpoint uint32) {
 	sameCell := cell(endpoint) == cell(first.endpoint)
 	elapsed := m.harness.now - first.at
@@ -111,14 +111,14 @@
 	case class.Idempotency == balancer.NotIdempotent:
 		m.t.Fatalf("stream %d: a request that is not idempotent was forwarded again", id)
 	case withKey && elapsed >= class.DedupWindow:
-		m.t.Fatalf("stream %d: %s was forwarded %d after the first attempt", id, class.Name, elapsed)
+		m.t.Fatalf("stream %d: %s was forwarded %d µs after the first attempt", id, class.Name, elapsed)
 	case withKey && class.Group == balancer.GroupCell && !sameCell:
-		m.t.Fatalf("stream %d: %s left its cell", id, class.Name)
+		m.t.Fatalf("stream %d: %s was forwarded to another cell than the first attempt", id, class.Name)
 	}
 }
 
-// checkForgotten checks that an entry that the ledger has removed is old, or harmless to remove.
-func (m *model) checkForgotten() {
+// checkRemovedEntries checks that each entry that the ledger has removed has expired or was harmless to remove.
+func (m *model) checkRemovedEntries() {
 	for key, effect := range m.effects {
 		if m.harness.ledger.entries[key] != nil {
 			continue
@@ -126,7 +126,7 @@
 		class := classes[effect.class]
 		retained := effect.firstThatMayHaveRun() != nil && class.Idempotency != balancer.Idempotent
 		if retained && m.harness.now < effect.lastClosed+class.ClientTimeout+class.DedupWindow {
-			m.t.Fatalf("%q was removed %d after its last stream was closed, and may have run", key,
+			m.t.Fatalf("%q may have run, but was removed %d µs after its last stream was closed", key,
 				m.harness.now-effect.lastClosed)
 		}
 		delete(m.effects, key)
@@ -151,9 +151,9 @@
 	}
 	m.streams = append(m.streams, stream)
 	m.harness.ledger.HandleRequest(m.harness.now, stream.request)
-	m.harness.settle()
+	m.harness.runDeferred()
 	if count := len(m.harness.responses[stream.id]); count != 1 {
-		m.t.Fatalf("stream %d got %d responses", stream.id, count)
+		m.t.Fatalf("stream %d got %d responses, want 1", stream.id, count)
 	}
 }
 
@@ -192,7 +192,7 @@
 	m.harness.closeStream(stream.id, undelivered)
 }
 
-// retireEndpoint has an endpoint drain.
+// retireEndpoint makes an endpoint drain.
 func (m *model) retireEndpoint() {
 	endpoint := rapid.IntRange(1, 6).Draw(m.t, "endpoint")
 	m.harness.retired[uint32(endpoint)] = true
@@ -203,8 +203,8 @@
 	})
 }
 
-// TestForwardRulesUnderRandomHistories plays random callers against the ledger and a real decision module, and checks
-// every forward against a plain reference model.
+// TestForwardRulesUnderRandomHistories simulates random callers of the ledger with a real decision module, and checks
+// every forward against a simple reference model.
 func TestForwardRulesUnderRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, rapid.Bool().Draw(t, "callers retry"))
@@ -221,7 +221,7 @@
 			default:
 				m.harness.advance(Micros(rapid.IntRange(1, 300).Draw(t, "ms")) * 10_000)
 			}
-			m.checkForgotten()
+			m.checkRemovedEntries()
 		}
 		for len(m.streams) > 0 {
 			m.remove(m.streams[0], false)
--- a/internal/routing/replay.go
+++ b/internal/routing/replay.go
@@ -2,9 +2,9 @@
 
 import "pinedale/balancer"
 
-// deliveryMargin is taken off a deduplication window for the time from a response to its use: a request forwarded in
-// the last instant of the window would reach the endpoint after it. A caller on the same machine needs under a
-// millisecond, an overloaded one some tens.
+// deliveryMargin is subtracted from a deduplication window for the time from a response to its use: a request forwarded
+// at the very end of the window would reach the endpoint after it. A caller on the same machine needs under a
+// millisecond, an overloaded one some tens of milliseconds.
 const deliveryMargin Micros = 100_000
 
 // Reasons of Conflict and KeyReused.
@@ -19,7 +19,7 @@
 	reasonUnknownEndpoint = "a server had the request that is not in the list: it must not be repeated"
 )
 
-// replay forwards an attempt once more that was forwarded before, if a repeat is harmless.
+// replay forwards an attempt that was forwarded before once more, if a repeat is harmless.
 func (l *Ledger) replay(now Micros, r *round, index int, s *stream) {
 	if reason := l.replayConflict(now, r, index, s.requestID); reason != "" {
 		l.actions.Respond(s.id, Response{Kind: Conflict, Reason: reason})
@@ -50,14 +50,14 @@
 	return ""
 }
 
-// windowExpired reports whether the endpoints may have forgotten the key of an entry by the time a request that is
-// forwarded now reaches them. first is the first attempt that may have run.
+// windowExpired reports whether the deduplication window of an entry may have expired by the time a request that is
+// forwarded now reaches the endpoint. first is the first attempt that may have run.
 func (l *Ledger) windowExpired(now Micros, e *entry, first balancer.PreviousAttempt) bool {
 	class := l.class(e)
 	return class.Idempotency == balancer.IdempotentWithKey && now >= first.At+class.DedupWindow-deliveryMargin
 }
 
-// maxForwards returns how often a request may be forwarded: the limit, or less if the request brings a bound.
+// maxForwards returns how often a request may be forwarded: the ledger's limit, or the request's own if that is lower.
 func (l *Ledger) maxForwards(req *Request) int {
 	if req.ModuleRequest.MaxAttempts > 0 {
 		return min(req.ModuleRequest.MaxAttempts, l.limits.MaxAttempts)
--- a/internal/routing/report.go
+++ b/internal/routing/report.go
@@ -2,8 +2,8 @@
 
 import "pinedale/balancer"
 
-// HandleReport handles the outcome of the attempt that was forwarded to a stream, and returns what is to be done with
-// the endpoint's answer. It counts only from a stream that was answered with Forward, and once.
+// HandleReport handles the outcome of the attempt that was forwarded to a stream, and returns what the caller must do
+// with the endpoint's answer. It ignores a report if no attempt was forwarded to the stream, or a second report.
 func (l *Ledger) HandleReport(id StreamID, outcome Outcome) Response {
 	s := l.streams[id]
 	if s == nil || s.round == nil || s.reported {
@@ -24,7 +24,7 @@
 		r.succeeded = s.attempt
 	}
 	if outcome.UnknownEndpoint {
-		// Nothing can be learned of an endpoint that is not in the list.
+		// The module has no state for an endpoint that is not in the list, so that the outcome counts for no endpoint.
 		r.entry.unknownEndpoint = true
 		outcome.Status = balancer.Cancelled
 	}
@@ -37,8 +37,8 @@
 	return r.responseToFailure()
 }
 
-// withoutProof weakens a status that proves that the request never ran. If an attempt was forwarded more than once,
-// the report on one forward proves nothing of the others.
+// withoutProof replaces a status that proves that the request never ran. If an attempt was forwarded more than once,
+// the report on one forward does not prove that the others never ran.
 func withoutProof(status balancer.Status) balancer.Status {
 	switch status {
 	case balancer.Full:
@@ -51,7 +51,7 @@
 
 // completeReported passes the reported outcome of an attempt to the module, and ends the round if it can't continue.
 func (l *Ledger) completeReported(r *round, index int, outcome Outcome) {
-	// Replays use up forwards that the module still counts as attempts of its own.
+	// Replays use up forwards, but the module still counts on them for attempts of its own.
 	exhausted := r.entry.exhausted(r.requestID, l.limits.MaxAttempts) && len(r.attempts) < r.maxAttempts
 	r.answered = r.answered || r.succeeded != noAttempt || outcome.UnknownEndpoint || exhausted
 	l.completeAttempt(r, index, outcome, r.answered && outcome.Status != balancer.OK)
@@ -69,7 +69,7 @@
 	return Response{Kind: Fail}
 }
 
-// ForwardDiscarded handles that the host did not deliver a Forward, since its endpoint no longer accepts requests. The
+// ForwardDiscarded handles a Forward that the host did not deliver because its endpoint no longer accepts requests. The
 // stream gets another response.
 func (l *Ledger) ForwardDiscarded(id StreamID) {
 	s := l.streams[id]
@@ -79,7 +79,7 @@
 	r := s.round
 	a := &r.attempts[s.attempt]
 	a.waiting--
-	a.takeBack()
+	a.undoForward()
 	r.entry.forwardsOf(s.requestID).forwards--
 	s.round = nil
 	switch {
--- a/internal/routing/round.go
+++ b/internal/routing/round.go
@@ -2,7 +2,7 @@
 
 import "pinedale/balancer"
 
-// noAttempt stands for the index of an attempt where there is none.
+// noAttempt is the index that stands for no attempt.
 const noAttempt = -1
 
 // round is one request as the decision module knows it.
@@ -48,14 +48,14 @@
 	return true
 }
 
-// takeBack undoes a forward that never reached its caller.
-func (a *attempt) takeBack() {
+// undoForward undoes a forward that never reached its caller.
+func (a *attempt) undoForward() {
 	a.forwards--
 	a.mayHaveRun = a.forwards > 0
 }
 
-// startRound passes a request to the decision module, unless earlier attempts forbid it. What may have run before
-// restricts where the module may send it.
+// startRound passes a request to the decision module, unless earlier attempts forbid it. An earlier attempt that may
+// have run restricts where the module may send the request.
 func (l *Ledger) startRound(e *entry, s *stream, req *Request) {
 	e.previous, e.previousMayHaveRun = e.firstThatMayHaveRun()
 	if reason := l.startConflict(e, req); reason != "" {
@@ -106,7 +106,7 @@
 		l.replay(now, r, last, s)
 		return
 	}
-	if r.entry.exhausted(s.requestID, l.limits.MaxAttempts) { // replays of the attempt before took them all
+	if r.entry.exhausted(s.requestID, l.limits.MaxAttempts) { // replays of the previous attempt used up all forwards
 		l.actions.Respond(s.id, Response{Kind: Conflict, Reason: reasonMaxAttempts})
 		return
 	}
@@ -114,8 +114,8 @@
 	if last < 0 {
 		return // the decision is still to come
 	}
-	// An attempt is on offer. If its endpoint no longer accepts requests, or the endpoints may have forgotten the key
-	// meanwhile, the module decides anew.
+	// An attempt is on offer. If its endpoint no longer accepts requests, or the deduplication window of the key may
+	// have expired in the meantime, the module makes a new decision.
 	first, mayHaveRun := r.entry.firstThatMayHaveRun()
 	expired := mayHaveRun && l.windowExpired(now, r.entry, first)
 	if !expired && l.actions.Usable(r.attempts[last].ref) {
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -5,7 +5,7 @@
 // Micros is a time or a duration of the decision module, in microseconds.
 type Micros = balancer.Micros
 
-// StreamID identifies one stream of a caller. The host never gives one twice.
+// StreamID identifies one stream of a caller. The host never uses one twice.
 type StreamID uint64
 
 // Request is a request that a caller wants routed.
@@ -14,7 +14,7 @@
 	ID            string           // correlation ID: a new one with each retry of a client
 	Key           string           // idempotency key, unique within a tenant; "" if the class has no keys
 	Fingerprint   uint64           // of all that must be equal if the same effect is requested again
-	ModuleRequest balancer.Request // what the decision module is given
+	ModuleRequest balancer.Request // passed to the decision module
 	Tenant        string
 }
 
@@ -42,16 +42,16 @@
 	Reason     string // of Conflict and KeyReused
 }
 
-// Location is the location of an attempt's endpoint, as far as it restricts repeats.
+// Location is the part of an endpoint's location that restricts where a repeat may be sent.
 type Location struct {
 	Zone uint8
 	Cell uint16
 }
 
-// Outcome is what a caller reports of an attempt.
+// Outcome is a caller's report on an attempt.
 type Outcome struct {
 	Status          balancer.Status
-	Endpoint        uint32   // that served the attempt, 0 if it is the one that was forwarded
+	Endpoint        uint32   // endpoint that served the attempt, 0 if it is the one that the attempt was forwarded to
 	Location        Location // of Endpoint, if that is not 0
 	UnknownEndpoint bool     // the endpoint that served the attempt is not in the endpoint list
 	Load            []float32
@@ -65,7 +65,7 @@
 	// CancelRound notifies the module that the client of a round has disconnected. The module may cancel the attempts of
 	// the round within the call, by AttemptCancelled.
 	CancelRound(round uint64)
-	// CompleteAttempt passes the outcome of an attempt to the module, exactly once per attempt. settled says that the
+	// CompleteAttempt passes the outcome of an attempt to the module, exactly once per attempt. settled is set if the
 	// client has its answer. The module's next decision may arrive within the call.
 	CompleteAttempt(round uint64, attempt int, outcome Outcome, settled bool)
 	// Usable reports whether the endpoint of an attempt still accepts new requests.
