--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -38,7 +38,7 @@
 	inFlight  int
 	requested float64 // requests in this window
 	quota     float64 // requests granted for this window
-	remaining float64 // requests that may still be admitted, including savings
+	remaining float64 // requests that may still be admitted, including those saved in earlier windows
 }
 
 // full reports whether the limit of requests in flight is reached.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -18,9 +18,9 @@
 	admitted  []float64
 }
 
-// playArrivals simulates Poisson arrivals of each tenant at rates per second. start and seconds are in seconds.
+// simulateArrivals simulates Poisson arrivals of each tenant at rates per second. start and seconds are in seconds.
 // Each request is released at once. Requests of the first second are not counted.
-func playArrivals(a *Admission, rates []float64, start, seconds int) counts {
+func simulateArrivals(a *Admission, rates []float64, start, seconds int) counts {
 	rng := rand.New(rand.NewPCG(1, uint64(start)))
 	result := counts{make([]float64, len(rates)), make([]float64, len(rates))}
 	arrivals := make([]float64, len(rates)) // time of each tenant's next arrival, in microseconds
@@ -55,20 +55,20 @@
 // admitted, and the first tenant gets the remaining capacity.
 func TestTenantAboveItsShareDoesNotAffectOthers(t *testing.T) {
 	a := New(Config{Rate: 3000, Tenants: []Tenant{{Weight: 1}, {Weight: 1}, {Weight: 1}}, Classes: []Class{{}}})
-	c := playArrivals(a, []float64{10_000, 800, 800}, 0, 11)
+	c := simulateArrivals(a, []float64{10_000, 800, 800}, 0, 11)
 	for i := 1; i < 3; i++ {
 		if c.admitted[i] < 0.98*c.requested[i] {
 			t.Errorf("tenant %d: %v of %v admitted", i, c.admitted[i], c.requested[i])
 		}
 	}
-	if rest := 10 * (3000.0 - 1600); math.Abs(c.admitted[0]-rest) > 0.05*rest {
-		t.Errorf("tenant 0: %v admitted, want about %v", c.admitted[0], rest)
+	if remaining := 10 * (3000.0 - 1600); math.Abs(c.admitted[0]-remaining) > 0.05*remaining {
+		t.Errorf("tenant 0: %v admitted, want about %v", c.admitted[0], remaining)
 	}
 }
 
 func TestSharesFollowWeightsWhenAllExceedThem(t *testing.T) {
 	a := New(Config{Rate: 6000, Tenants: []Tenant{{Weight: 1}, {Weight: 2}, {Weight: 3}}, Classes: []Class{{}}})
-	c := playArrivals(a, []float64{9000, 9000, 9000}, 0, 6)
+	c := simulateArrivals(a, []float64{9000, 9000, 9000}, 0, 6)
 	for i, want := range []float64{5000, 10_000, 15_000} {
 		if math.Abs(c.admitted[i]-want) > 0.02*want {
 			t.Errorf("tenant %d: %v admitted, want %v", i, c.admitted[i], want)
@@ -79,15 +79,15 @@
 // A tenant that returns has its share at once, although the other tenant used it before.
 func TestReturningTenantHasItsShareAtOnce(t *testing.T) {
 	a := New(Config{Rate: 1000, Tenants: []Tenant{{Weight: 1}, {Weight: 1}}, Classes: []Class{{}}})
-	playArrivals(a, []float64{5000, 1e-9}, 0, 3)
+	simulateArrivals(a, []float64{5000, 1e-9}, 0, 3)
 	admitted := 0
-	for i := range 40 { // 40 in 100 ms are 400 per second, below its 500
+	for i := range 40 { // 40 requests in 100 ms are 400 per second, below the tenant's share of 500
 		if _, ok := a.Admit(3*second+balancer.Micros(i)*2500, &balancer.Request{Tenant: 1}); ok {
 			admitted++
 		}
 	}
 	if admitted != 40 {
-		t.Errorf("%d of 40 admitted", admitted)
+		t.Errorf("%d of 40 requests admitted, want all", admitted)
 	}
 }
 
@@ -117,7 +117,7 @@
 		}
 		for class := range admitted {
 			if got := admitted[class] / requested[class]; math.Abs(got-c.want[class]) > 0.05 {
-				t.Errorf("rate %v, class %d: %.2f admitted, want %.2f", c.rate, class, got, c.want[class])
+				t.Errorf("rate %v, class %d: fraction %.2f admitted, want %.2f", c.rate, class, got, c.want[class])
 			}
 		}
 	}
@@ -131,7 +131,7 @@
 	admit := func(tenant uint16, class uint8) bool {
 		retryAfter, ok := a.Admit(1, &balancer.Request{Tenant: tenant, Class: class})
 		if !ok && (retryAfter <= 0 || retryAfter > 2*Window) {
-			t.Errorf("rejected with retry after %d", retryAfter)
+			t.Errorf("rejected with a Retry-After of %d µs, want more than 0 and at most two windows", retryAfter)
 		}
 		return ok
 	}
@@ -148,11 +148,11 @@
 		{1, 1, true},
 	} {
 		if admit(c.tenant, c.class) != c.ok {
-			t.Errorf("request %d: want %v", i, c.ok)
+			t.Errorf("request %d: want admitted %v", i, c.ok)
 		}
 	}
 	if a.InFlight() != 4 {
-		t.Errorf("%d in flight, want 4", a.InFlight())
+		t.Errorf("%d requests in flight, want 4", a.InFlight())
 	}
 	a.Release(&balancer.Request{Tenant: 0, Class: 0})
 	if !admit(0, 1) || !admit(1, 0) {
@@ -176,7 +176,7 @@
 func TestRequestWithUnknownNumbersIsAdmitted(t *testing.T) {
 	a := New(Config{Tenants: []Tenant{{Weight: 1, MaxInFlight: 1}}, Classes: []Class{{MaxInFlight: 1}}})
 	if _, ok := a.Admit(1, &balancer.Request{Tenant: 9, Class: 9}); !ok {
-		t.Error("a request numbered by an earlier configuration was rejected")
+		t.Error("a request with numbers of an earlier configuration was rejected")
 	}
 }
 
@@ -243,10 +243,10 @@
 				window.admitted[request.Tenant]++
 				inFlight = append(inFlight, request)
 			} else if config.Rate == 0 {
-				t.Fatal("rejected without a limit")
+				t.Fatal("a request was rejected although there is no limit")
 			}
 			if a.InFlight() != len(inFlight) {
-				t.Fatalf("%d in flight, want %d", a.InFlight(), len(inFlight))
+				t.Fatalf("%d requests in flight, want %d", a.InFlight(), len(inFlight))
 			}
 		}
 	})
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -129,7 +129,7 @@
 			continue
 		}
 		share := capacity * t.limits.Weight / totalWeight
-		// Capacity without demand is in the quotas of all tenants: the first that request it get it.
+		// Unused capacity is added to the quotas of all tenants, so that the first to request it get it.
 		t.quota = max(t.quota+unassigned*t.limits.Weight/totalWeight, share)
 		t.remaining = min(t.remaining, max(1, maxSavedWindows*share)) + t.quota
 		t.requested = 0
--- a/internal/drainadvisory/drainadvisory.go
+++ b/internal/drainadvisory/drainadvisory.go
@@ -1,12 +1,12 @@
 // Package drainadvisory decides to which endpoints an instance sends no requests because other
-// instances report them as draining, although its own endpoint list still has them as ready.
+// instances report them as draining, although its own endpoint list still contains them as ready.
 // It does no I/O, has no state and reads no clock.
 //
 // # Problem
 //
 // An instance may not have received the latest watch event of its source. A watch without events
 // may be broken, which takes seconds to detect. In that time the instance would send requests to an
-// endpoint that is shutting down, while other instances have been notified of the drain.
+// endpoint that is shutting down, although other instances have been notified of the drain.
 //
 // # Rules
 //
@@ -18,8 +18,8 @@
 //     endpoint.
 //   - At least [MinReporters] instances other than this one must report it. A single instance that
 //     is faulty, or mistakes a fault of its own network for one of the endpoint, has no effect.
-//   - A report is valid for [MaxReportAge]. After that time the drain has ended, or the own source
-//     has reported it.
+//   - A report is valid for [MaxReportAge]. After that time the drain has ended, or the instance's
+//     own source has reported it.
 //   - At most [MaxWithheldRatio] of the ready endpoints are withheld, those with the most reporters
 //     first. Even if all other instances are wrong, the remaining endpoints continue to serve.
 //
@@ -47,7 +47,7 @@
 	// MaxReportAge is how long a report is valid.
 	MaxReportAge = time.Minute
 	// MaxWithheldRatio is the maximum fraction of the ready endpoints that is withheld. Rolling
-	// updates replace endpoints in smaller steps. Of two endpoints none is withheld.
+	// updates replace endpoints in smaller steps. If there are only two endpoints, none is withheld.
 	MaxWithheldRatio = 1.0 / 3
 )
 
@@ -58,8 +58,8 @@
 	Age         time.Duration // time since the report was written
 }
 
-// Withheld returns the ready incarnations to withhold, sorted. self is this instance's name, ready
-// are the incarnations that its own source lists as ready.
+// Withheld returns the ready incarnations to withhold, sorted. self is this instance's name, and
+// ready holds the incarnations that its own source lists as ready.
 func Withheld(self string, ready []string, reports []Report) []string {
 	isReady := map[string]bool{}
 	for _, incarnation := range ready {
--- a/internal/drainadvisory/drainadvisory_test.go
+++ b/internal/drainadvisory/drainadvisory_test.go
@@ -43,7 +43,7 @@
 			),
 			[]string{"s-1@0", "s-2@0"},
 		},
-		"of too many those with most reporters": {
+		"more endpoints than the ratio with different numbers of reporters": {
 			slices.Concat(
 				reportsOf("s-1@0", 0, "i-2", "i-3"),
 				reportsOf("s-2@0", 0, "i-2", "i-3"),
@@ -61,7 +61,7 @@
 func TestOfTwoEndpointsNoneIsWithheld(t *testing.T) {
 	ready := []string{"s-1@0", "s-2@0"}
 	if got := Withheld("i-1", ready, reportsOf("s-1@0", 0, "i-2", "i-3")); len(got) > 0 {
-		t.Errorf("of two endpoints %v is withheld", got)
+		t.Errorf("%v withheld although there are only two endpoints", got)
 	}
 }
 
@@ -90,7 +90,7 @@
 	return reporters
 }
 
-// For any reports: each withheld endpoint is ready and has enough reporters, at least two thirds of
+// For any reports, each withheld endpoint is ready and has enough reporters, at least two thirds of
 // the endpoints remain, a single reporter has no effect, and the order of the reports does not matter.
 func TestWithholdingIsBounded(t *testing.T) {
 	const self = "i-0"
@@ -102,7 +102,7 @@
 		reports := drawReports(t)
 		withheld := Withheld(self, ready, reports)
 		if 3*len(withheld) > len(ready) {
-			t.Fatalf("%d of %d are withheld", len(withheld), len(ready))
+			t.Fatalf("%d of %d endpoints are withheld, want at most a third", len(withheld), len(ready))
 		}
 		for _, incarnation := range withheld {
 			reporters := validReporters(self, incarnation, reports)
@@ -116,7 +116,7 @@
 		}
 		shuffled := rapid.Permutation(reports).Draw(t, "order")
 		if got := Withheld(self, ready, shuffled); !slices.Equal(got, withheld) {
-			t.Fatalf("in another order %v, not %v", got, withheld)
+			t.Fatalf("with the reports in another order %v are withheld, want %v", got, withheld)
 		}
 	})
 }
--- a/internal/keylease/acceptor.go
+++ b/internal/keylease/acceptor.go
@@ -79,8 +79,8 @@
 	return max(0, a.recoveredAt-now)
 }
 
-// HandleRequest processes a lease request. ok is false if no response must be sent, because its
-// owner has ended the term of the request.
+// HandleRequest processes a lease request. ok is false if no response must be sent, because the
+// owner has already ended the term of the request.
 func (a *Acceptor) HandleRequest(now time.Duration, request Request) (response Response, ok bool) {
 	a.expireSome(now)
 	response = Response{Key: request.Key, Owner: request.Owner, Term: request.Term}
--- a/internal/keylease/doc.go
+++ b/internal/keylease/doc.go
@@ -62,7 +62,7 @@
 //	release  requester is a holder, in this term or     requester is no longer a holder
 //	         an earlier one
 //	release  requester is a holder, in a later term     unchanged
-//	any      the lease has expired                      as without an entry
+//	any      the lease has expired                      same as without an entry
 //
 // An acceptor that cannot vote (it is recovering, has another voter set configured, or is at
 // capacity) changes nothing and responds with the reason. The requester may retry.
--- a/internal/keylease/explorer_state_test.go
+++ b/internal/keylease/explorer_state_test.go
@@ -115,7 +115,7 @@
 	return encoded
 }
 
-// validate returns the property that the state breaks, nil if it keeps them all.
+// validate returns the property that the state violates, nil if it violates none.
 func (s *exploredState) validate() error {
 	group := ""
 	exclusive := 0
--- a/internal/keylease/linearizability_test.go
+++ b/internal/keylease/linearizability_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// deliver delivers all messages that are due, including responses that are due at the same time.
+// deliver delivers all messages that are due, including responses that become due at the same time.
 func (s *simulation) deliver(now time.Duration) {
 	slices.SortStableFunc(s.network, func(a, b networkMessage) int { return cmp.Compare(a.deliverAt, b.deliverAt) })
 	for len(s.network) > 0 && s.network[0].deliverAt <= now {
@@ -176,7 +176,7 @@
 			history = append(history, r.operation)
 		}
 		if !porcupine.CheckOperations(writeOnceRegister.ToModel(), history) {
-			t.Fatalf("no order explains %+v", history)
+			t.Fatalf("no sequential order explains the history %+v", history)
 		}
 	})
 }
@@ -187,6 +187,6 @@
 		{ClientId: 1, Input: "b", Output: "b", Call: 20, Return: 30},
 	}
 	if porcupine.CheckOperations(writeOnceRegister.ToModel(), twoGroups) {
-		t.Error("a key that was leased to two groups passes")
+		t.Error("a history in which a key was leased to two groups passes the check")
 	}
 }
--- a/internal/keylease/message.go
+++ b/internal/keylease/message.go
@@ -16,7 +16,7 @@
 	Owner    Owner
 	Term     uint64        // lease term; the owner increments it after a release
 	Group    string        // group of endpoints that the owner wants to send to
-	Duration time.Duration // how long the acceptor must remember the lease
+	Duration time.Duration // how long the acceptor must keep the lease
 	VoterSet uint64        // hash of the voters as configured at the requester, see VoterSetHash
 }
 
@@ -32,8 +32,8 @@
 	AtCapacity                 // the acceptor has no capacity for another key or another holder of it
 )
 
-// String returns what an acceptor that responds with this kind has done, for the reason of a
-// denied lease.
+// String describes what an acceptor that responds with this kind has done. It is part of the
+// reason of a denied lease, in a sentence whose subject is the acceptor.
 func (k ResponseKind) String() string {
 	descriptions := [...]string{
 		Granted:       "granted it",
