--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -52,7 +52,7 @@
 	i.table.Store(table)
 	i.parser.SetRouter(newRouter(table))
 	if i.upstreamTLS != nil {
-		i.upstreamTLS.Rename(file.VerifyNames())
+		i.upstreamTLS.SetNames(file.VerifyNames())
 	}
 	i.engine.SwitchSource(newSource(file, i.log))
 	return nil
--- a/internal/measure/reconnect/client.go
+++ b/internal/measure/reconnect/client.go
@@ -89,7 +89,7 @@
 
 // connect takes a turn and does a handshake.
 func (i *instance) connect(ctx context.Context, target *engine.Target) (net.Conn, error) {
-	if err := i.client.Turn(ctx, target); err != nil {
+	if err := i.client.AwaitTurn(ctx, target); err != nil {
 		return nil, err
 	}
 	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", target.Address)
--- a/internal/standin/cert/cert.go
+++ b/internal/standin/cert/cert.go
@@ -119,8 +119,8 @@
 	return store
 }
 
-// Turn lets a handshake begin at once.
-func (p *Pair) Turn(context.Context, *engine.Target) error { return nil }
+// AwaitTurn lets a handshake begin at once.
+func (p *Pair) AwaitTurn(context.Context, *engine.Target) error { return nil }
 
 // QUIC returns the client's configuration. The connection may always carry new requests.
 func (p *Pair) QUIC(*engine.Target) (
--- a/internal/upstream/attempt/secure.go
+++ b/internal/upstream/attempt/secure.go
@@ -11,9 +11,9 @@
 // A Securer performs the TLS handshakes of new connections. An upstream without one sends
 // everything in plain text; an upstream with one sends nothing in plain text.
 type Securer interface {
-	// Turn waits until a handshake with a target may begin. It fails with ErrFull where the
+	// AwaitTurn waits until a handshake with a target may begin. It fails with ErrFull where the
 	// rate limit does not allow one in time.
-	Turn(ctx context.Context, t *engine.Target) error
+	AwaitTurn(ctx context.Context, t *engine.Target) error
 	// Secure performs a handshake over raw and verifies the target. It closes raw where it
 	// fails.
 	Secure(ctx context.Context, t *engine.Target, raw net.Conn) (Session, error)
--- a/internal/upstream/byprotocol/byprotocol.go
+++ b/internal/upstream/byprotocol/byprotocol.go
@@ -53,7 +53,7 @@
 	supported, attempt := u.tracker.Choose(time.Now(), t.Address)
 	u.mu.Unlock()
 	if attempt {
-		u.http3.Warm(t)
+		u.http3.Preconnect(t)
 	}
 	return supported
 }
@@ -97,7 +97,7 @@
 	u.http3.Retire(t)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.tracker.Forget(t.Address)
+	u.tracker.Remove(t.Address)
 }
 
 // Prune closes connections that have been idle for too long.
--- a/internal/upstream/handshake/handshake.go
+++ b/internal/upstream/handshake/handshake.go
@@ -56,7 +56,7 @@
 // server's start, zero where it has long been running. A turn that is granted is used up,
 // whether the handshake takes place or not. ok is false where there is none within patience;
 // nothing is used up then.
-func (b *Budget) RequestTurn(now time.Time, server string, startedAt time.Time, kind Kind, patience time.Duration) (
+func (b *Budget) RequestTurn(now time.Time, server string, startedAt time.Time, kind Kind, maxWait time.Duration) (
 	begin time.Time, ok bool) {
 	if b.epoch.IsZero() {
 		b.epoch = now
@@ -77,7 +77,7 @@
 	}
 	turn := max(state.earliest(instant, rate, burst), b.total.earliest(instant, totalRate, totalBurst))
 	wait := turn - instant
-	if wait > patience.Seconds() {
+	if wait > maxWait.Seconds() {
 		b.counts.Rejected++
 		return time.Time{}, false
 	}
--- a/internal/upstream/handshake/handshake_test.go
+++ b/internal/upstream/handshake/handshake_test.go
@@ -25,9 +25,9 @@
 var testConfig = Config{PerServer: 10, All: 40, InitialWarmupRatio: 0.2, WarmWithin: 10 * time.Second, Burst: 5}
 
 // Each row of the table in the package comment.
-func TestTurnsByKindAndPatience(t *testing.T) {
-	turn := func(b *Budget, k Kind, patience time.Duration) (wait time.Duration, ok bool) {
-		begin, ok := b.RequestTurn(start, "a", time.Time{}, k, patience)
+func TestTurnsByKindAndMaxWait(t *testing.T) {
+	turn := func(b *Budget, k Kind, maxWait time.Duration) (wait time.Duration, ok bool) {
+		begin, ok := b.RequestTurn(start, "a", time.Time{}, k, maxWait)
 		if !ok {
 			return 0, false
 		}
@@ -138,17 +138,17 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			server := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "server")
 			kind := rapid.SampledFrom([]Kind{Request, Background}).Draw(t, "kind")
-			patience := time.Duration(rapid.IntRange(0, 2000).Draw(t, "patience")) * time.Millisecond
+			maxWait := time.Duration(rapid.IntRange(0, 2000).Draw(t, "patience")) * time.Millisecond
 			startedAt := time.Time{}
 			if server == "c" {
 				startedAt = start
 			}
-			begin, ok := b.RequestTurn(now, server, startedAt, kind, patience)
+			begin, ok := b.RequestTurn(now, server, startedAt, kind, maxWait)
 			if !ok {
 				continue
 			}
-			if wait := begin.Sub(now); wait < 0 || wait > patience || kind == Background && wait > 0 {
-				t.Fatalf("kind %d waits %v of %v", kind, wait, patience)
+			if wait := begin.Sub(now); wait < 0 || wait > maxWait || kind == Background && wait > 0 {
+				t.Fatalf("kind %d waits %v of %v", kind, wait, maxWait)
 			}
 			for _, name := range []string{server, "all"} {
 				turns[name] = append(turns[name], begin.Sub(start).Seconds())
--- a/internal/upstream/http3upstream/exchange.go
+++ b/internal/upstream/http3upstream/exchange.go
@@ -22,7 +22,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	wait := newStreamWait(c.quic, cancel)
-	defer wait.end()
+	defer wait.stop()
 	request := newRequest(wait.traceContext(ctx), t, m)
 	response, err := c.client.RoundTrip(request)
 	if err != nil && !wait.opened.Load() {
--- a/internal/upstream/http3upstream/pool.go
+++ b/internal/upstream/http3upstream/pool.go
@@ -94,7 +94,7 @@
 	}
 	c.closed = true
 	u.open--
-	if c.quic == nil || !u.beginLocked() {
+	if c.quic == nil || !u.trackGoroutineLocked() {
 		return // no connection, or one that ends with the transport
 	}
 	go func() {
@@ -180,7 +180,7 @@
 	}
 	// A name may take long to resolve: Close waits for the handshake only.
 	address, err := net.ResolveUDPAddr("udp", c.target.Address)
-	if u.begin() {
+	if u.trackGoroutine() {
 		defer u.running.Done()
 	} else if err == nil {
 		err = net.ErrClosed
@@ -200,7 +200,7 @@
 
 // connect performs the handshake with a connection's target at an address.
 func (u *Upstream) connect(ctx context.Context, c *conn, address *net.UDPAddr) error {
-	if err := u.options.Secure.Turn(ctx, c.target); err != nil {
+	if err := u.options.Secure.AwaitTurn(ctx, c.target); err != nil {
 		return err
 	}
 	config, end, err := u.options.Secure.QUIC(c.target)
--- a/internal/upstream/http3upstream/pool_test.go
+++ b/internal/upstream/http3upstream/pool_test.go
@@ -188,7 +188,7 @@
 	defer socket.Close()
 	unresponsive := &engine.Target{Address: socket.LocalAddr().String()}
 	var completed atomic.Bool
-	f.upstream.Warm(unresponsive)
+	f.upstream.Preconnect(unresponsive)
 	f.upstream.Probe(context.Background(), unresponsive, func(engine.Result) { completed.Store(true) })
 	wait.Until(t, "the handshake", func() bool { return handshakes.begun.Load() == 1 })
 	start := time.Now()
--- a/internal/upstream/http3upstream/streamwait.go
+++ b/internal/upstream/http3upstream/streamwait.go
@@ -26,7 +26,7 @@
 	timer *time.Timer
 }
 
-// newStreamWait starts to bound a request's wait for a stream of a connection. end must follow.
+// newStreamWait starts to bound a request's wait for a stream of a connection. stop must follow.
 func newStreamWait(conn *quic.Conn, cancel func()) *streamWait {
 	w := &streamWait{conn: conn, cancel: cancel}
 	w.mu.Lock()
@@ -49,8 +49,8 @@
 	}
 }
 
-// end ends the wait. The request is not cancelled afterwards.
-func (w *streamWait) end() {
+// stop ends the wait. The request is not cancelled afterwards.
+func (w *streamWait) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended = true
--- a/internal/upstream/http3upstream/streamwait_test.go
+++ b/internal/upstream/http3upstream/streamwait_test.go
@@ -29,7 +29,7 @@
 		t.Error("cancelled though the endpoint accepts streams")
 	case <-time.After(5 * streamTimeout):
 	}
-	streamWait.end()
+	streamWait.stop()
 	for range 3 * streams {
 		wait.Until(t, "a further stream", func() bool { return acceptsStream(c.quic) })
 	}
--- a/internal/upstream/http3upstream/upstream.go
+++ b/internal/upstream/http3upstream/upstream.go
@@ -19,9 +19,9 @@
 
 // A Securer verifies endpoints, and decides when a handshake may begin.
 type Securer interface {
-	// Turn waits until a handshake with a target may begin. It fails with attempt.ErrFull where
+	// AwaitTurn waits until a handshake with a target may begin. It fails with attempt.ErrFull where
 	// the rate limit allows none in time.
-	Turn(ctx context.Context, t *engine.Target) error
+	AwaitTurn(ctx context.Context, t *engine.Target) error
 	// QUIC returns the TLS configuration of one handshake, and a function that must be called
 	// with its result. That returns whether the connection may carry new requests at an instant,
 	// as a function that is not called concurrently, nor after an error.
@@ -86,16 +86,16 @@
 	return errors.Join(err, u.transport.Conn.Close())
 }
 
-// begin counts the calling goroutine, or one that the caller starts, among those that Close waits
+// trackGoroutine counts the calling goroutine, or one that the caller starts, among those that Close waits
 // for, until u.running.Done. It returns false once Close was called.
-func (u *Upstream) begin() bool {
+func (u *Upstream) trackGoroutine() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.beginLocked()
+	return u.trackGoroutineLocked()
 }
 
-// beginLocked is begin for a caller that holds u.mu.
-func (u *Upstream) beginLocked() bool {
+// trackGoroutineLocked is trackGoroutine for a caller that holds u.mu.
+func (u *Upstream) trackGoroutineLocked() bool {
 	if u.closed {
 		return false
 	}
@@ -110,7 +110,7 @@
 
 // Probe sends a health check to an endpoint on a goroutine of its own.
 func (u *Upstream) Probe(ctx context.Context, t *engine.Target, completed func(engine.Result)) {
-	awaited := u.begin()
+	awaited := u.trackGoroutine()
 	go func() {
 		if awaited {
 			defer u.running.Done()
@@ -119,20 +119,20 @@
 	}()
 }
 
-// Warm opens the connection to a target in the background. It is background work to the
+// Preconnect opens the connection to a target in the background. It is background work to the
 // handshake rate limit, since no request waits for it.
-func (u *Upstream) Warm(t *engine.Target) {
-	if !u.begin() {
+func (u *Upstream) Preconnect(t *engine.Target) {
+	if !u.trackGoroutine() {
 		return
 	}
 	go func() {
 		defer u.running.Done()
-		u.warm(t)
+		u.preconnect(t)
 	}()
 }
 
-// warm opens the connection to a target and reports the result, unless dial reports it.
-func (u *Upstream) warm(t *engine.Target) {
+// preconnect opens the connection to a target and reports the result, unless dial reports it.
+func (u *Upstream) preconnect(t *engine.Target) {
 	ctx, cancel := context.WithTimeout(attempt.ForProbe(u.ctx), u.options.DialTimeout)
 	defer cancel()
 	c, err := u.acquire(ctx, t)
--- a/internal/upstream/httpupstream/pool.go
+++ b/internal/upstream/httpupstream/pool.go
@@ -49,7 +49,7 @@
 // dial opens a connection, over TLS where the upstream has a Securer.
 func (u *Upstream) dial(ctx context.Context, t *engine.Target) (*conn, error) {
 	if u.securer != nil {
-		if err := u.securer.Turn(ctx, t); err != nil {
+		if err := u.securer.AwaitTurn(ctx, t); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/upstream/httpupstream/response.go
+++ b/internal/upstream/httpupstream/response.go
@@ -28,7 +28,7 @@
 
 // receive reads one final response. reusable reports whether the response leaves the connection
 // open for other requests.
-func (c *conn) receive(method string) (answer *attempt.Response, reusable bool, err error) {
+func (c *conn) receive(method string) (result *attempt.Response, reusable bool, err error) {
 	c.responseLimit.N = maxHeadBytes + httpmsg.MaxBodyBytes
 	defer c.setReadDeadline(time.Time{})
 	for range maxInterimResponses {
--- a/internal/upstream/protocol/protocol.go
+++ b/internal/upstream/protocol/protocol.go
@@ -81,5 +81,5 @@
 	}
 }
 
-// Forget removes an address that is no longer listed.
-func (t *Tracker) Forget(address string) { delete(t.entries, address) }
+// Remove removes an address that is no longer listed.
+func (t *Tracker) Remove(address string) { delete(t.entries, address) }
--- a/internal/upstream/protocol/protocol_test.go
+++ b/internal/upstream/protocol/protocol_test.go
@@ -37,7 +37,7 @@
 	tracker.Record(at(17), "x", Established)
 	tracker.Record(at(18), "x", Failed)
 	expect(23, false, true) // the initial backoff again
-	tracker.Forget("x")
+	tracker.Remove("x")
 	tracker.Record(at(24), "x", Established)
 	expect(24, false, true)
 }
--- a/internal/upstream/secure/client.go
+++ b/internal/upstream/secure/client.go
@@ -19,7 +19,7 @@
 // Options configure a Client.
 type Options struct {
 	KeyStore *certstore.Store // own certificate and trusted roots
-	Names    *Names           // see Client.Rename
+	Names    *Names           // see Client.SetNames
 	Budget   handshake.Config // rates of handshakes
 	Sessions int              // maximum number of sessions that may be resumed, over all servers
 	Timeout  time.Duration    // of a handshake
@@ -70,17 +70,17 @@
 	return c, nil
 }
 
-// Rename has servers verified by other names from now on. An open connection takes no new
+// SetNames has servers verified by other names from now on. An open connection takes no new
 // requests once its server goes by another name. n must not be modified afterwards.
-func (c *Client) Rename(n *Names) { c.names.Store(n) }
+func (c *Client) SetNames(n *Names) { c.names.Store(n) }
 
-// Turn waits until a handshake with a target may begin. It fails with attempt.ErrFull at once
+// AwaitTurn waits until a handshake with a target may begin. It fails with attempt.ErrFull at once
 // where the rate limit allows none in time, and with ctx's error where ctx ends first.
-func (c *Client) Turn(ctx context.Context, t *engine.Target) error {
+func (c *Client) AwaitTurn(ctx context.Context, t *engine.Target) error {
 	// Half of the time is left to the handshake itself.
-	patience := c.options.Timeout / 2
+	maxWait := c.options.Timeout / 2
 	if deadline, ok := ctx.Deadline(); ok {
-		patience = min(patience, time.Until(deadline)/2)
+		maxWait = min(maxWait, time.Until(deadline)/2)
 	}
 	kind := handshake.Request
 	if attempt.IsProbe(ctx) {
@@ -88,7 +88,7 @@
 	}
 	now := c.options.Now()
 	c.mu.Lock()
-	begin, ok := c.budget.RequestTurn(now, t.Address, t.Started(), kind, patience)
+	begin, ok := c.budget.RequestTurn(now, t.Address, t.Started(), kind, maxWait)
 	c.mu.Unlock()
 	if !ok {
 		return fmt.Errorf("%w: handshake rate limit of %s", attempt.ErrFull, t.Address)
--- a/internal/upstream/secure/conn_test.go
+++ b/internal/upstream/secure/conn_test.go
@@ -52,7 +52,7 @@
 		t.Error("a connection that is still trusted is usable after the configured time")
 	}
 	last := connect(bySecond)
-	f.client.Rename(&Names{Pattern: "{name}.example.com"})
+	f.client.SetNames(&Names{Pattern: "{name}.example.com"})
 	if last.Usable(f.now()) {
 		t.Error("a connection is usable, though its server goes by another name")
 	}
--- a/internal/upstream/secure/handshake.go
+++ b/internal/upstream/secure/handshake.go
@@ -19,24 +19,24 @@
 	// logInterval is the shortest time between two log events of the same failure of the same
 	// server, so that a fleet with an expired certificate does not fill the disk.
 	logInterval = time.Minute
-	// maxLoggedFaults bounds the failures that are remembered for that.
-	maxLoggedFaults = 1024
+	// maxLoggedFailures bounds the failures that are remembered for that.
+	maxLoggedFailures = 1024
 )
 
 // clientHandshake is a handshake in progress.
 type clientHandshake struct {
-	client    *Client
-	target    *engine.Target
-	names     *Names
-	name      string // that the target must be verified by
-	material  int    // number of the keys and roots in use
-	config    *tls.Config
-	presented []*x509.Certificate // by the target
+	client     *Client
+	target     *engine.Target
+	names      *Names
+	name       string // that the target must be verified by
+	generation int    // number of the keys and roots in use
+	config     *tls.Config
+	presented  []*x509.Certificate // by the target
 }
 
-// begin prepares a handshake with a target for a protocol (ALPN, RFC 7301).
-func (c *Client) begin(t *engine.Target, protocol string) (*clientHandshake, error) {
-	h := &clientHandshake{client: c, target: t, material: c.options.KeyStore.Generation(), names: c.names.Load()}
+// newHandshake prepares a handshake with a target for a protocol (ALPN, RFC 7301).
+func (c *Client) newHandshake(t *engine.Target, protocol string) (*clientHandshake, error) {
+	h := &clientHandshake{client: c, target: t, generation: c.options.KeyStore.Generation(), names: c.names.Load()}
 	var err error
 	if h.name, err = h.names.CertificateName(t.Name); err != nil {
 		return nil, h.fail(err)
@@ -45,7 +45,7 @@
 		return nil, h.fail(err)
 	}
 	h.config.NextProtos = []string{protocol}
-	h.config.ClientSessionCache = c.sessions.cacheFor(t, protocol, h.material)
+	h.config.ClientSessionCache = c.sessions.cacheFor(t, protocol, h.generation)
 	verify := h.config.VerifyConnection
 	h.config.VerifyConnection = func(state tls.ConnectionState) error {
 		h.presented = state.PeerCertificates
@@ -76,7 +76,7 @@
 	if known && now.Sub(last) < logInterval && !now.Before(last) {
 		return false
 	}
-	if len(c.loggedAt) >= maxLoggedFaults {
+	if len(c.loggedAt) >= maxLoggedFailures {
 		clear(c.loggedAt)
 	}
 	c.loggedAt[key] = now
@@ -115,14 +115,14 @@
 // Secure performs a handshake over raw. It closes raw where it fails: nothing of a request has
 // been sent then.
 func (c *Client) Secure(ctx context.Context, t *engine.Target, raw net.Conn) (attempt.Session, error) {
-	h, err := c.begin(t, protocolHTTP1)
+	h, err := c.newHandshake(t, protocolHTTP1)
 	if err != nil {
 		raw.Close()
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
-	encrypted := c.options.KeyStore.Dial(raw, h.config, h.material)
+	encrypted := c.options.KeyStore.Dial(raw, h.config, h.generation)
 	if err := encrypted.HandshakeContext(ctx); err != nil {
 		raw.Close()
 		return nil, h.fail(err)
@@ -135,7 +135,7 @@
 // an instant, as a function that must not be called concurrently; it is nil after an error.
 func (c *Client) QUIC(t *engine.Target) (
 	config *tls.Config, end func(tls.ConnectionState, error) (usable func(now time.Time) bool), err error) {
-	h, err := c.begin(t, protocolHTTP3)
+	h, err := c.newHandshake(t, protocolHTTP3)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -148,7 +148,7 @@
 		_ = h.fail(err) // the caller has the error
 		return nil
 	}
-	keys := h.client.options.KeyStore.Lifetime(state, x509.ExtKeyUsageServerAuth, h.material)
+	keys := h.client.options.KeyStore.Lifetime(state, x509.ExtKeyUsageServerAuth, h.generation)
 	connLifetime := h.succeed(state, keys)
 	return connLifetime.isUsable
 }
--- a/internal/upstream/secure/handshake_test.go
+++ b/internal/upstream/secure/handshake_test.go
@@ -184,7 +184,7 @@
 	}
 }
 
-// Where the rate limit has no turn in time, Turn fails with ErrFull at once, so that the request
+// Where the rate limit has no turn in time, AwaitTurn fails with ErrFull at once, so that the request
 // goes elsewhere unsent. Health checks get no turn that a request may need.
 func TestTurnRejectsAtOnceWithoutBudget(t *testing.T) {
 	f := newFixture(t, func(o *Options, _ *certstore.Options) {
@@ -193,19 +193,19 @@
 	})
 	endpoint := &engine.Target{Name: "soko-3", Address: "127.0.0.1:1"}
 	ctx := context.Background()
-	if err := f.client.Turn(attempt.ForProbe(ctx), endpoint); err != nil {
+	if err := f.client.AwaitTurn(attempt.ForProbe(ctx), endpoint); err != nil {
 		t.Errorf("a health check with the full burst left: %v", err)
 	}
-	if err := f.client.Turn(attempt.ForProbe(ctx), endpoint); !errors.Is(err, attempt.ErrFull) {
+	if err := f.client.AwaitTurn(attempt.ForProbe(ctx), endpoint); !errors.Is(err, attempt.ErrFull) {
 		t.Errorf("a health check with half of the burst left: %v", err)
 	}
 	f.clockOffset.Store(int64(4 * time.Second))
-	if err := f.client.Turn(ctx, endpoint); err != nil {
+	if err := f.client.AwaitTurn(ctx, endpoint); err != nil {
 		t.Errorf("a request: %v", err)
 	}
 	expiring, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
-	if err := f.client.Turn(expiring, endpoint); !errors.Is(err, attempt.ErrFull) {
+	if err := f.client.AwaitTurn(expiring, endpoint); !errors.Is(err, attempt.ErrFull) {
 		t.Errorf("a request without time left: %v", err)
 	}
 	if got := f.client.Counters().Turns; got != (handshake.Counts{Immediate: 2, Deferred: 1, Rejected: 1}) {
--- a/internal/upstream/secure/sessions.go
+++ b/internal/upstream/secure/sessions.go
@@ -41,8 +41,8 @@
 // cachedSession is an entry of the store.
 type cachedSession struct {
 	sessionKey
-	material int // number of the keys and roots that it began under
-	state    *tls.ClientSessionState
+	generation int // number of the keys and roots that it began under
+	state      *tls.ClientSessionState
 }
 
 // newSessionStore returns an empty store.
@@ -51,8 +51,8 @@
 }
 
 // cacheFor returns the cache for one handshake with a target.
-func (s *sessionStore) cacheFor(t *engine.Target, protocol string, material int) tls.ClientSessionCache {
-	return &sessionCache{s, sessionKey{t, protocol}, material}
+func (s *sessionStore) cacheFor(t *engine.Target, protocol string, generation int) tls.ClientSessionCache {
+	return &sessionCache{s, sessionKey{t, protocol}, generation}
 }
 
 // sessionCache is the store as one handshake sees it. It implements tls.ClientSessionCache,
@@ -60,7 +60,7 @@
 type sessionCache struct {
 	store *sessionStore
 	sessionKey
-	material int
+	generation int
 }
 
 // Get returns the target's session.
@@ -72,7 +72,7 @@
 		return nil, false
 	}
 	session := element.Value.(*cachedSession)
-	if session.material != c.material {
+	if session.generation != c.generation {
 		c.store.removeLocked(element)
 		return nil, false
 	}
@@ -91,13 +91,13 @@
 		c.store.removeLocked(element)
 		return
 	}
-	session := cachedSession{c.sessionKey, c.material, state}
+	session := cachedSession{c.sessionKey, c.generation, state}
 	if element == nil {
 		c.store.insertLocked(&session)
 		return
 	}
 	existing := element.Value.(*cachedSession)
-	if existing.material > c.material {
+	if existing.generation > c.generation {
 		return // a later connection has already stored a better one
 	}
 	*existing = session
--- a/internal/upstream/secure/sessions_model_test.go
+++ b/internal/upstream/secure/sessions_model_test.go
@@ -14,8 +14,8 @@
 // modelSession is a session of the model.
 type modelSession struct {
 	sessionKey
-	material int
-	state    *tls.ClientSessionState
+	generation int
+	state      *tls.ClientSessionState
 }
 
 // sessionModel is what a sessionStore must hold.
@@ -38,40 +38,40 @@
 }
 
 // put stores a session. One that began under earlier material than the one in the store is dropped.
-func (m *sessionModel) put(key sessionKey, material int) {
+func (m *sessionModel) put(key sessionKey, generation int) {
 	state := &tls.ClientSessionState{}
-	m.store.cacheFor(key.target, key.protocol, material).Put("any", state)
+	m.store.cacheFor(key.target, key.protocol, generation).Put("any", state)
 	closed := key.target.Closed()
 	index := slices.IndexFunc(m.sessions, func(other modelSession) bool { return other.sessionKey == key })
-	if index >= 0 && !closed && m.sessions[index].material > material {
+	if index >= 0 && !closed && m.sessions[index].generation > generation {
 		return
 	}
 	m.take(key)
 	if closed {
 		return
 	}
-	m.sessions = append(m.sessions, modelSession{key, material, state})
+	m.sessions = append(m.sessions, modelSession{key, generation, state})
 	if len(m.sessions) > m.capacity {
 		m.sessions = m.sessions[1:]
 	}
 }
 
 // putNil removes a session as crypto/tls does.
-func (m *sessionModel) putNil(key sessionKey, material int) {
-	m.store.cacheFor(key.target, key.protocol, material).Put("any", nil)
+func (m *sessionModel) putNil(key sessionKey, generation int) {
+	m.store.cacheFor(key.target, key.protocol, generation).Put("any", nil)
 	m.take(key)
 }
 
 // get looks up a session and checks that the right one is found.
-func (m *sessionModel) get(key sessionKey, material int) {
-	got, found := m.store.cacheFor(key.target, key.protocol, material).Get("any")
+func (m *sessionModel) get(key sessionKey, generation int) {
+	got, found := m.store.cacheFor(key.target, key.protocol, generation).Get("any")
 	session, stored := m.take(key)
 	switch {
 	case !stored:
 		if found {
 			m.t.Fatal("found a session that was not stored")
 		}
-	case session.material != material:
+	case session.generation != generation:
 		if found {
 			m.t.Fatal("found a session of other material")
 		}
@@ -114,14 +114,14 @@
 				target:   rapid.SampledFrom(targets).Draw(t, "target"),
 				protocol: rapid.SampledFrom([]string{protocolHTTP1, protocolHTTP3}).Draw(t, "protocol"),
 			}
-			material := rapid.IntRange(1, 3).Draw(t, "material")
+			generation := rapid.IntRange(1, 3).Draw(t, "material")
 			switch rapid.SampledFrom(steps).Draw(t, "step") {
 			case "put":
-				m.put(key, material)
+				m.put(key, generation)
 			case "put nil":
-				m.putNil(key, material)
+				m.putNil(key, generation)
 			case "get":
-				m.get(key, material)
+				m.get(key, generation)
 			case "invalidate":
 				m.invalidate(key.target)
 			case "close":
