--- a/internal/httpmsg/headscan.go
+++ b/internal/httpmsg/headscan.go
@@ -3,16 +3,16 @@
 import "bytes"
 
 // HeadScan scans the bytes of a message for what net/http hides: where a header has both Content-Length and
-// Transfer-Encoding, net/http silently drops the former, and what one reader takes for the body another
-// takes for a request (request smuggling).
+// Transfer-Encoding, net/http silently drops the former. Two readers that disagree on the length may then
+// take the same bytes for a body and for another request (request smuggling).
 type HeadScan struct {
 	ContentLengthLines  int   // number of Content-Length lines
 	HasTransferEncoding bool  // there is a Transfer-Encoding line
 	ScannedBytes        int64 // bytes scanned
 	HeaderBytes         int64 // bytes up to the end of the header; 0 while it is incomplete
 
-	line    []byte // the current line, up to the length of the longest name
-	started bool   // a line that is not empty has been scanned
+	line    []byte // start of the current line, at most as long as the longest prefix that is matched
+	started bool   // a non-empty line has been scanned
 }
 
 var (
--- a/internal/httpmsg/httpmsg.go
+++ b/internal/httpmsg/httpmsg.go
@@ -8,17 +8,17 @@
 	"slices"
 )
 
-// Limits of messages, in bytes.
+// Size limits of messages.
 const (
-	MaxBodyBytes   = 64 << 10 // of the body of a request or a response
-	MaxHeaderBytes = 32 << 10 // of the header of a request
+	MaxBodyBytes   = 64 << 10 // body of a request or a response
+	MaxHeaderBytes = 32 << 10 // header of a request
 )
 
 // hopByHop headers concern one connection only (RFC 9110, section 7.6.1).
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// CopyEndToEnd copies the headers that are forwarded: all but those that concern one connection only.
+// CopyEndToEnd copies the end-to-end headers, which are forwarded: all but the hop-by-hop ones.
 func CopyEndToEnd(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(hopByHop, name) {
--- a/internal/httpmsg/loadreport.go
+++ b/internal/httpmsg/loadreport.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// maxLoadValue is the largest valid figure of a load report.
+// maxLoadValue is the largest valid value in a load report.
 const maxLoadValue = 1e6
 
-// LoadReport parses comma-separated name=value pairs into the order of fields. A figure that is missing,
-// repeated, malformed or out of range is NaN, which the balancer skips: its last figure stays in use.
-// Without text or fields it returns nil.
+// LoadReport parses comma-separated name=value pairs and returns the values in the order of fields. A value
+// that is missing, repeated, malformed or out of range is NaN: the balancer skips it and keeps the last valid
+// one. LoadReport returns nil if text or fields is empty.
 func LoadReport(fields []string, text string) []float32 {
 	if text == "" || len(fields) == 0 {
 		return nil
--- a/internal/upstream/attempt/attempt.go
+++ b/internal/upstream/attempt/attempt.go
@@ -7,23 +7,23 @@
 	"pinedale/internal/engine"
 )
 
-// Reasons for which the sidecar itself does not send a request.
+// Reasons why the sidecar itself does not send a request.
 var (
 	ErrClosed = errors.New("endpoint draining or removed")
 	ErrFull   = errors.New("no connection available")
 	ErrLate   = errors.New("response no longer awaited, or send deadline passed")
 )
 
-// A Sender sends a request to a target once and returns the outcome. It must not resend.
+// A Sender sends a request to a target once and returns the outcome. It must not resend the request.
 type Sender func(context.Context, *engine.Target, *engine.Message) engine.Result
 
-// carrier carries out the attempts of one request.
+// carrier sends the attempts of one request.
 type carrier struct {
 	send    Sender
 	message *engine.Message
 }
 
-// NewCarrier returns a carrier that sends one request by a Sender.
+// NewCarrier returns a carrier that sends one request through a Sender.
 func NewCarrier(send Sender, m *engine.Message) engine.Carrier { return &carrier{send, m} }
 
 // Send sends the request on a goroutine of its own.
@@ -37,8 +37,8 @@
 	}()
 }
 
-// sendWithBounds sends the request with the attempt's context, to which it attaches the
-// shorter-lived contexts that end when the request must no longer be written.
+// sendWithBounds sends the request with the attempt's context, to which it attaches the contexts
+// that end earlier: those that end when the request must no longer be written.
 func (c *carrier) sendWithBounds(ctx context.Context, a *engine.Attempt) engine.Result {
 	sendContext, cancel := context.WithDeadline(ctx, a.SendByTime())
 	defer cancel()
--- a/internal/upstream/attempt/attempt_test.go
+++ b/internal/upstream/attempt/attempt_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The last check does not depend on a goroutine that may run late: the request is withheld as
-// soon as the client has disconnected, and after the send deadline by the clock.
+// CheckBeforeWrite does not depend on goroutines that may run late: it rejects the request as soon
+// as the client has disconnected, and compares the send deadline with the clock.
 func TestCheckBeforeWriteFailsOnceNoResponseIsAwaited(t *testing.T) {
 	background := context.Background()
 	cancelled, cancel := context.WithCancel(background)
@@ -33,6 +33,6 @@
 		}
 	}
 	if err := CheckBeforeWrite(background); err != nil {
-		t.Errorf("health check: %v", err)
+		t.Errorf("health check without send bounds: %v", err)
 	}
 }
--- a/internal/upstream/attempt/bounds.go
+++ b/internal/upstream/attempt/bounds.go
@@ -6,8 +6,8 @@
 )
 
 // sendBounds are the contexts that end when a request must no longer be written. The end of
-// client also cancels send, and a disconnect ends client, but on other goroutines, which may run
-// late: CheckBeforeWrite looks at all.
+// client cancels send, and a disconnect ends client, but both happen on other goroutines, which
+// may run late: CheckBeforeWrite therefore checks each of them.
 type sendBounds struct {
 	send         context.Context // ends with the attempt, with client, and at the send deadline
 	client       context.Context // ends when the client no longer awaits a response
@@ -17,7 +17,7 @@
 // sendBoundsKey is the context key of an attempt's sendBounds.
 type sendBoundsKey struct{}
 
-// SendContext returns the context that an attempt's request may be written under. It ends with
+// SendContext returns the context that bounds the writing of an attempt's request. It ends with
 // the attempt, when the client has disconnected, when another attempt has delivered the
 // response, and when a request with an idempotency key would arrive after the endpoint has
 // dropped the key.
@@ -32,8 +32,8 @@
 	return sendBounds{send: ctx, client: ctx}
 }
 
-// CheckBeforeWrite is the last check before a request is written. It returns ErrLate where the
-// request must not be written. It compares the send deadline with the clock as well, since a
+// CheckBeforeWrite is the last check before a request is written. It returns ErrLate if the
+// request must not be written. It also compares the send deadline with the clock, since a
 // context may end late on a busy machine.
 func CheckBeforeWrite(ctx context.Context) error {
 	bounds := sendBoundsFrom(ctx)
--- a/internal/upstream/attempt/doc.go
+++ b/internal/upstream/attempt/doc.go
@@ -2,7 +2,7 @@
 // cancels the attempts of a request, bounds the time in which a request may still be written,
 // maps failures and responses to outcomes, and sends health checks.
 //
-// An outcome is a statement about whether the request may have run on the endpoint:
+// An outcome states whether the request may have run on the endpoint:
 //
 //	NotSent        the sidecar itself did not send it: it never ran
 //	ConnectFailed  the last byte was never written, by a fault of the endpoint or of the network
@@ -14,9 +14,9 @@
 //	Timeout, Cancelled, Reset
 //	               written, perhaps in part, without a complete response: it may have run
 //
-// In doubt a request may have run. A reset is not a response: it says nothing about what the
-// endpoint does with the request after it.
+// In doubt a request counts as one that may have run. A reset is not a response: the endpoint may
+// process the request after it.
 //
-// The package owns no state. Each attempt runs on one goroutine of its own, which ends with the
+// The package has no state. Each attempt runs on one goroutine of its own, which ends with the
 // attempt's context at the latest and reports exactly one result to the engine.
 package attempt
--- a/internal/upstream/attempt/message.go
+++ b/internal/upstream/attempt/message.go
@@ -18,7 +18,7 @@
 // ErrBodyTooLarge is the error for a response whose body exceeds httpmsg.MaxBodyBytes.
 var ErrBodyTooLarge = errors.New("response body too large")
 
-// RequestHeader returns the header that a request is sent with: the client's end-to-end fields,
+// RequestHeader returns the header that a request is sent with: the client's end-to-end headers
 // and the time that this attempt has left.
 func RequestHeader(ctx context.Context, m *engine.Message) http.Header {
 	header := http.Header{}
@@ -30,7 +30,7 @@
 	return header
 }
 
-// ReadBody reads a response's body to its end, or fails with ErrBodyTooLarge.
+// ReadBody reads a response's body to its end. It fails with ErrBodyTooLarge beyond the size limit.
 func ReadBody(body io.Reader) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, httpmsg.MaxBodyBytes+1))
 	if err != nil {
--- a/internal/upstream/attempt/message_test.go
+++ b/internal/upstream/attempt/message_test.go
@@ -23,10 +23,10 @@
 	} {
 		body, err := ReadBody(bytes.NewReader(make([]byte, size)))
 		if !errors.Is(err, want) {
-			t.Errorf("%d bytes: %v, want %v", size, err, want)
+			t.Errorf("body of %d bytes: %v, want %v", size, err, want)
 		}
 		if err == nil && len(body) != size {
-			t.Errorf("%d of %d bytes", len(body), size)
+			t.Errorf("read %d of %d bytes", len(body), size)
 		}
 	}
 }
@@ -38,10 +38,10 @@
 	header := RequestHeader(ctx, message)
 	remaining, err := strconv.Atoi(header.Get("X-Time-Left-Ms"))
 	if err != nil || remaining <= 0 || remaining > 60_000 {
-		t.Errorf("remaining time %q", header.Values("X-Time-Left-Ms"))
+		t.Errorf("remaining time %q, want 1 to 60000 ms", header.Values("X-Time-Left-Ms"))
 	}
 	if header.Get("X-Correlation-Id") != "1" {
-		t.Errorf("header %v", header)
+		t.Errorf("header %v lacks the client's X-Correlation-Id", header)
 	}
 	expired, cancelExpired := context.WithDeadline(context.Background(), time.Unix(1, 0))
 	defer cancelExpired()
--- a/internal/upstream/attempt/outcome.go
+++ b/internal/upstream/attempt/outcome.go
@@ -14,7 +14,7 @@
 // Response headers of the endpoints.
 const (
 	unprocessedHeader = "X-Unprocessed"  // "1": the request was rejected before it was processed
-	loadReportHeader  = "X-Backend-Load" // load report, as the body of a load probe's response
+	loadReportHeader  = "X-Backend-Load" // load report, in the format of a load probe's response body
 )
 
 // An UnsentError proves that the last byte of a request was never written.
@@ -25,9 +25,9 @@
 // Unwrap returns the cause.
 func (e *UnsentError) Unwrap() error { return e.Cause }
 
-// UnsentStatus returns the outcome of a request whose last byte was not written, so that it
-// never ran: ConnectFailed, which counts against the endpoint, unless the sidecar itself no
-// longer wanted to send it or was not free to.
+// UnsentStatus returns the outcome of a request whose last byte was not written, so that it never
+// ran. This is ConnectFailed, which counts against the endpoint, unless the sidecar itself did not
+// send the request: the attempt was over, the endpoint was draining, or no connection was available.
 func UnsentStatus(ctx context.Context, err error) balancer.Status {
 	local := SendContext(ctx).Err() != nil ||
 		errors.Is(err, ErrClosed) || errors.Is(err, ErrFull) || errors.Is(err, ErrLate)
@@ -41,9 +41,9 @@
 // no complete response: it may have run.
 func InterruptedStatus(ctx context.Context) balancer.Status {
 	switch deadline, ok := ctx.Deadline(); {
-	// By the clock: the balancer's own timer for the same instant may have cancelled the
-	// attempt already, and a cancellation in place of a timeout would hide from the balancer
-	// that the endpoint is unresponsive.
+	// By the clock: the balancer's own timer for the same instant may have cancelled the attempt
+	// already. If that were reported as a cancellation, the balancer would not notice that the
+	// endpoint is unresponsive.
 	case ok && !time.Now().Before(deadline):
 		return balancer.Timeout
 	case ctx.Err() != nil:
@@ -52,15 +52,15 @@
 	return balancer.Reset // an aborted, truncated or malformed response
 }
 
-// Response is an endpoint's complete response, its body read.
+// Response is an endpoint's complete response, with its body read.
 type Response struct {
 	StatusCode int
 	Header     http.Header
 	Body       []byte
 }
 
-// ResponseResult returns the result of a request that has a complete response. fields are those
-// of load reports, in the order of the settings.
+// ResponseResult returns the result of a request that has a complete response. fields are the
+// load report's fields, in the order of the settings.
 func ResponseResult(fields []string, response *Response, duration time.Duration) engine.Result {
 	result := engine.Result{
 		Status:   balancer.Error,
--- a/internal/upstream/attempt/probe.go
+++ b/internal/upstream/attempt/probe.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// probeTimeout bounds a health check, its connection included.
+	// probeTimeout bounds a health check, including the time to connect.
 	probeTimeout = 400 * time.Millisecond
 
 	healthPath     = "/health/live"
 	loadReportPath = "/stats"
 )
 
-// Probe sends a health check to a target, or a load probe where the deployment has load
-// reports: fields are the report's, in the order of the settings.
+// Probe sends a health check to a target, or a load probe if the deployment has load reports.
+// fields are the load report's fields, in the order of the settings.
 func Probe(ctx context.Context, send Sender, t *engine.Target, fields []string) engine.Result {
 	ctx, cancel := context.WithTimeout(ForProbe(ctx), probeTimeout)
 	defer cancel()
