--- a/internal/upstream/httpupstream/conn.go
+++ b/internal/upstream/httpupstream/conn.go
@@ -21,13 +21,13 @@
 	reader        *bufio.Reader
 	responseLimit io.LimitedReader // bounds the bytes of one response
 	idleSince     time.Time
-	used          bool // it has carried a request before
+	used          bool // has carried a request
 
 	mu          sync.Mutex
-	interrupted bool // its exchange was cancelled: no deadline is set any more
+	interrupted bool // its exchange was cancelled: deadlines are no longer set
 }
 
-// pastDeadline is a deadline that ends a pending read or write at once.
+// pastDeadline is a deadline that ends a pending read or write immediately.
 var pastDeadline = time.Unix(1, 0)
 
 // interrupt ends pending and later reads and writes.
@@ -35,35 +35,35 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.interrupted = true
-	_ = c.SetDeadline(pastDeadline) // fails only where the connection has ended already
+	_ = c.SetDeadline(pastDeadline) // fails only if the connection has already ended
 }
 
 // setReadDeadline sets the deadline for reading, unless the connection was interrupted: a later
-// deadline would let the read of a cancelled exchange go on.
+// deadline would let the read of a cancelled exchange continue.
 func (c *conn) setReadDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.interrupted {
-		_ = c.SetReadDeadline(deadline) // fails only where reading fails, too
+		_ = c.SetReadDeadline(deadline) // fails only if the next read fails, too
 	}
 }
 
-// setResetOnClose has the connection end with a reset in place of an orderly close, which is
-// delivered after all bytes that were written.
+// setResetOnClose makes the connection end with a reset. An orderly close would first deliver all
+// bytes that were written.
 func (c *conn) setResetOnClose() {
 	if tcp, ok := c.socket.(interface{ SetLinger(int) error }); ok {
-		_ = tcp.SetLinger(0) // fails only where the connection has ended already
+		_ = tcp.SetLinger(0) // fails only if the connection has already ended
 	}
 }
 
 // isUsable reports whether keys and trust still allow new requests on the connection. After a
-// change of keys it verifies a certificate chain, which would take too long in Prune: that runs
-// on the engine's goroutine.
+// change of keys it verifies a certificate chain, which takes too long for Prune: that runs on
+// the engine's goroutine.
 func (c *conn) isUsable(now time.Time) bool { return c.session == nil || c.session.Usable(now) }
 
 // isAlive reports whether an idle connection is open and has no unread bytes. An endpoint may
-// close it at any time, and a request written after that is lost with a reset, which proves
-// nothing about whether it has run.
+// close it at any time. A request written after that ends with a reset, which does not prove
+// whether the request has run.
 func (c *conn) isAlive() bool {
 	raw, err := c.socket.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/upstream/httpupstream/doc.go
+++ b/internal/upstream/httpupstream/doc.go
@@ -1,13 +1,13 @@
 // Package httpupstream sends requests to endpoints over HTTP/1.1, in plain text or over TLS.
 //
-// It does not use http.Transport, which resends by itself what it takes for idempotent when an
-// idle connection turns out to be dead: each resend would be an attempt that the balancer never
-// decided. Here a request is written at most once. Its outcome (see package attempt) claims that
-// it never ran only where its last byte was not written or the endpoint states so; in doubt it
-// may have run.
+// It does not use http.Transport, which by itself resends requests that it considers idempotent
+// when an idle connection turns out to be dead: each resend would be an attempt that the balancer
+// never decided on. Here a request is written at most once. Its outcome (see package attempt)
+// states that it never ran only if its last byte was not written or the endpoint says so; in doubt
+// it may have run.
 //
 // One connection carries one request at a time. A connection that broke, was cancelled, or
-// delivered more than one response's bytes is closed; others are cached as idle by endpoint:
+// delivered bytes beyond one response is closed; others are cached as idle by endpoint:
 //
 //	upstream.go  Upstream, its options, one attempt
 //	pool.go      the idle connections and the limit of open ones
--- a/internal/upstream/httpupstream/exchange.go
+++ b/internal/upstream/httpupstream/exchange.go
@@ -12,18 +12,18 @@
 	"pinedale/internal/upstream/idle"
 )
 
-// exchange sends one request on a connection and reads the complete response. It releases the
-// connection. Its error is errStale or an attempt.UnsentError where the last byte of the request
-// was not written; after any other error the request may have run.
+// exchange sends one request on a connection, reads the complete response and releases the
+// connection. The error is errStale or an attempt.UnsentError if the last byte of the request was
+// not written; after any other error the request may have run.
 func (u *Upstream) exchange(ctx context.Context, c *conn, m *engine.Message) (response *attempt.Response, err error) {
 	reusable := false
-	written := false // at least in part
+	written := false // at least one byte of the request
 	stopInterrupt := context.AfterFunc(ctx, c.interrupt)
 	defer func() {
 		reusable = stopInterrupt() && reusable
 		if written && err != nil {
-			// Bytes that the kernel has not delivered yet must not arrive later, perhaps by
-			// minutes.
+			// Bytes that the kernel has not delivered yet must not arrive later, possibly
+			// minutes after the attempt has ended.
 			c.setResetOnClose()
 		}
 		u.release(c, reusable, written)
@@ -37,14 +37,14 @@
 	if c.target.Closed() {
 		return nil, &attempt.UnsentError{Cause: attempt.ErrClosed}
 	}
-	// Checked ahead of isAlive: to an attempt that is over this connection would look dead, and
-	// so would every other idle one.
+	// Checked before isAlive: to an attempt whose context has ended this connection, and every
+	// other idle one, would look dead.
 	if err := attempt.CheckBeforeWrite(ctx); err != nil {
 		reusable = true
 		return nil, &attempt.UnsentError{Cause: err}
 	}
-	// Checked last before the write: bytes that have arrived by now belong to no request, and
-	// must not be taken for the response.
+	// Checked last before the write: bytes that have arrived by now are not part of any response
+	// to this request.
 	if c.used && !c.isAlive() {
 		return nil, errStale
 	}
@@ -60,7 +60,7 @@
 	start := time.Now()
 	stopDeadline := context.AfterFunc(attempt.SendContext(ctx), func() { _ = c.SetWriteDeadline(pastDeadline) })
 	n, err := c.Write(data)
-	writable := stopDeadline() // else the write deadline has passed for good
+	writable := stopDeadline() // otherwise the write deadline has passed permanently
 	if n < len(data) {
 		u.observeIdle(ctx, c, start, err)
 		return nil, false, &attempt.UnsentError{Cause: err}
@@ -70,13 +70,13 @@
 	if err != nil {
 		return nil, false, err
 	}
-	// Bytes beyond the response make the connection useless: endpoints may send a response
-	// twice, or noise.
+	// A connection with bytes beyond the response is not reused: endpoints may send a response
+	// twice, or garbage.
 	return response, writable && reusable && c.reader.Buffered() == 0, nil
 }
 
 // observeIdle records whether a connection that had been idle until start was reset. An attempt
-// that was cancelled, or a connection that breaks later, says nothing about that.
+// that was cancelled, or a connection that breaks later, does not show how idle time affects it.
 func (u *Upstream) observeIdle(ctx context.Context, c *conn, start time.Time, err error) {
 	if !c.used {
 		return
@@ -89,7 +89,7 @@
 	u.idleEstimator.Observe(time.Now(), start.Sub(c.idleSince), err != nil)
 }
 
-// encode returns the bytes of a request, with the time that this attempt has left.
+// encode returns the bytes of a request, including the time that this attempt has left.
 func encode(ctx context.Context, m *engine.Message) ([]byte, error) {
 	request := http.Request{
 		Method:        m.Method,
--- a/internal/upstream/httpupstream/pool.go
+++ b/internal/upstream/httpupstream/pool.go
@@ -10,8 +10,8 @@
 	"pinedale/internal/upstream/attempt"
 )
 
-// connect returns the most recently used connection to t that has settled. Where there is none
-// it waits for one to settle, and where none is idle it opens one.
+// connect returns the most recently used connection to t that has settled. If none has, it waits
+// for one to settle; if none is idle, it opens one.
 func (u *Upstream) connect(ctx context.Context, t *engine.Target) (*conn, error) {
 	c, err := u.reserve(t)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return c, nil
 }
 
-// awaitSettled waits until a connection has settled or the request must no longer be sent, which
-// the last check before the write finds out.
+// awaitSettled waits until a connection has settled or the request must no longer be sent. The
+// last check before the write detects the latter.
 func (u *Upstream) awaitSettled(ctx context.Context, c *conn) {
 	remaining := u.settleTime - time.Since(c.idleSince)
 	if remaining <= 0 {
@@ -46,7 +46,7 @@
 	}
 }
 
-// dial opens a connection, over TLS where the upstream has a Securer.
+// dial opens a connection, over TLS if the upstream has a Securer.
 func (u *Upstream) dial(ctx context.Context, t *engine.Target) (*conn, error) {
 	if u.securer != nil {
 		if err := u.securer.AwaitTurn(ctx, t); err != nil {
@@ -69,7 +69,7 @@
 	return c, nil
 }
 
-// reserve returns an idle connection, or nil with the right to open one.
+// reserve returns an idle connection, or nil if the caller may open one.
 func (u *Upstream) reserve(t *engine.Target) (*conn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -90,8 +90,8 @@
 }
 
 // takeIdleLocked returns a usable idle connection to t, or nil: the most recently used of those
-// that have settled, or else the one that will have settled first, mostly sooner than a new one
-// is open. It closes those that it finds unusable. The caller holds u.mu.
+// that have settled, or else the one that settles first, which is usually sooner than a new one
+// could be established. It closes unusable ones that it encounters. The caller holds u.mu.
 func (u *Upstream) takeIdleLocked(t *engine.Target) *conn {
 	now := time.Now()
 	limit := u.idleEstimator.Limit(now, u.maxIdle)
@@ -111,8 +111,8 @@
 }
 
 // removeIdleLocked removes the connection at an index from the idle ones to t. It returns the
-// connection, or closes it and returns nil where it is no longer usable or was idle for limit.
-// The caller holds u.mu.
+// connection, or closes it and returns nil if it is no longer usable or was idle for at least
+// limit. The caller holds u.mu.
 func (u *Upstream) removeIdleLocked(t *engine.Target, index int, now time.Time, limit time.Duration) *conn {
 	c := u.idleConns[t][index]
 	u.setIdleLocked(t, slices.Delete(u.idleConns[t], index, index+1))
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// setIdleLocked sets the idle connections to a target. Targets without any are not kept: eviction and
-// pruning look at all that are. The caller holds u.mu.
+// setIdleLocked sets the idle connections to a target. A target without any is deleted, since
+// eviction and pruning iterate over all entries. The caller holds u.mu.
 func (u *Upstream) setIdleLocked(t *engine.Target, conns []*conn) {
 	if len(conns) == 0 {
 		delete(u.idleConns, t)
@@ -133,8 +133,8 @@
 	u.idleConns[t] = conns
 }
 
-// evictIdleLocked closes the least recently used idle connection of some endpoint, if there is
-// one. The caller holds u.mu.
+// evictIdleLocked closes the least recently used idle connection of an arbitrary endpoint, if
+// there is one. The caller holds u.mu.
 func (u *Upstream) evictIdleLocked() {
 	for target, conns := range u.idleConns {
 		if len(conns) > 0 {
@@ -145,14 +145,14 @@
 	}
 }
 
-// closeLocked closes a connection. The caller holds u.mu.
+// closeLocked closes a connection and frees its slot. The caller holds u.mu.
 func (u *Upstream) closeLocked(c *conn) {
 	c.Close()
 	u.open--
 }
 
-// release returns a connection to the idle ones, or closes it where it is not reusable. written
-// reports whether anything was written to it: if not, it has been idle all the while.
+// release returns a connection to the idle ones, or closes it if it is not reusable. written
+// reports whether anything was written to it: otherwise its idle time continues.
 func (u *Upstream) release(c *conn, reusable, written bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -167,7 +167,7 @@
 	u.idleConns[c.target] = append(u.idleConns[c.target], c)
 }
 
-// Retire closes a target's idle connections. Requests in flight go on.
+// Retire closes a target's idle connections. Requests in flight continue.
 func (u *Upstream) Retire(t *engine.Target) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -187,7 +187,7 @@
 	now := time.Now()
 	limit := u.idleEstimator.Limit(now, u.maxIdle)
 	for target, conns := range u.idleConns {
-		expired := 0 // the longest idle come first
+		expired := 0 // conns is ordered by idle time, the longest first
 		for expired < len(conns) && now.Sub(conns[expired].idleSince) >= limit {
 			u.closeLocked(conns[expired])
 			expired++
--- a/internal/upstream/httpupstream/response.go
+++ b/internal/upstream/httpupstream/response.go
@@ -16,13 +16,13 @@
 	// responseTimeout bounds the time from a response's first byte to its last: four round
 	// trips between sites.
 	responseTimeout = 100 * time.Millisecond
-	// maxInterimResponses bounds the 1xx responses ahead of the final one.
+	// maxInterimResponses bounds the 1xx responses before the final one.
 	maxInterimResponses = 10
 )
 
-// Reasons for which a response is not accepted.
+// Reasons why a response is rejected.
 var (
-	errAmbiguousLength = errors.New("response length not stated in exactly one way")
+	errAmbiguousLength = errors.New("response length missing or stated more than once")
 	errInterimLimit    = errors.New("too many interim responses")
 )
 
@@ -35,8 +35,8 @@
 		if _, err := c.reader.Peek(1); err != nil {
 			return nil, false, err
 		}
-		// A response that has begun and stalls would hold its request until the client's
-		// deadline.
+		// Without a deadline, a response that has begun and then stalls would block its request
+		// until the client's deadline.
 		c.setReadDeadline(time.Now().Add(responseTimeout))
 		head, err := c.scanHead()
 		if err != nil {
@@ -64,9 +64,9 @@
 	return nil, false, errInterimLimit
 }
 
-// checkLength rejects a response that is too long, and a 200 that does not prove to be complete:
-// it must state one length or be in chunks. The connection's end proves nothing, and with both
-// http.ReadResponse hides one of them.
+// checkLength rejects a response that is too long, and a 200 that cannot be proven complete: it
+// must either state one length or be chunked. A body that ends with the connection may be
+// truncated, and if both are present, http.ReadResponse hides the length.
 func checkLength(head httpmsg.HeadScan, response *http.Response) error {
 	ambiguous := head.ContentLengthLines > 1 || (head.ContentLengthLines == 1) == head.HasTransferEncoding
 	if response.StatusCode == http.StatusOK && ambiguous {
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// scanHead waits for the complete head of the next response and scans its bytes, which remain to
-// be read.
+// scanHead waits for the complete head of the next response and scans its bytes without consuming
+// them.
 func (c *conn) scanHead() (httpmsg.HeadScan, error) {
 	var head httpmsg.HeadScan
 	for head.HeaderBytes == 0 {
--- a/internal/upstream/httpupstream/upstream.go
+++ b/internal/upstream/httpupstream/upstream.go
@@ -12,9 +12,9 @@
 	"pinedale/internal/upstream/idle"
 )
 
-// defaultSettleTime is how long a connection rests after a response. Endpoints may send a second
-// one some milliseconds later. A request that was written meanwhile would take it for its own:
-// it would not be visible yet to the check for unread bytes.
+// defaultSettleTime is how long a connection is not reused after a response. Endpoints may send a
+// second response some milliseconds after the first. A request written in between would get it as
+// its own response: the check for unread bytes before the write cannot see it yet.
 const defaultSettleTime = 10 * time.Millisecond
 
 // errStale is the error for an idle connection that turns out to be unusable before anything was
@@ -24,25 +24,25 @@
 // Options configure an Upstream.
 type Options struct {
 	DialTimeout time.Duration
-	Idle        time.Duration   // after which an endpoint may close an idle connection
-	Connections int             // limit of open connections, those being dialled included
+	Idle        time.Duration   // time after which an endpoint may close an idle connection
+	Connections int             // limit of open connections, including those being dialled
 	Fields      []string        // fields of load reports, in the order of the settings
 	Dialer      net.Dialer      // its Timeout is replaced by DialTimeout
-	Settle      time.Duration   // rest of a connection after a response; 0 for the default
+	Settle      time.Duration   // time that a connection is not reused after a response; 0 for the default
 	Secure      attempt.Securer // nil for plain text
 }
 
-// Upstream sends requests to endpoints. Make one with New. It is safe for concurrent use.
+// Upstream sends requests to endpoints. Create one with New. It is safe for concurrent use.
 type Upstream struct {
 	dialer     net.Dialer
 	settleTime time.Duration
 	securer    attempt.Securer // nil for plain text
-	maxIdle    time.Duration   // idle connections are not used for longer
+	maxIdle    time.Duration   // idle time from which on a connection is not used
 	loadFields []string        // fields of load reports, in the order of the settings
 
 	mu            sync.Mutex
-	idleEstimator idle.Estimator // lowers maxIdle to what connections have proven to last
-	open          int            // open connections, those being dialled included
+	idleEstimator idle.Estimator // lowers maxIdle to the idle time that connections are observed to survive
+	open          int            // open connections, including those being dialled
 	maxOpen       int
 	idleConns     map[*engine.Target][]*conn // by endpoint, the most recently used last
 }
@@ -57,8 +57,8 @@
 		dialer:     o.Dialer,
 		settleTime: o.Settle,
 		securer:    o.Secure,
-		// An endpoint closes a connection at the latest when its idle time is over, and what
-		// is written to it from then on is lost.
+		// An endpoint closes an idle connection at the latest after o.Idle, and what is written
+		// to it afterwards is lost.
 		maxIdle:    o.Idle * 3 / 4,
 		loadFields: o.Fields,
 		maxOpen:    o.Connections,
@@ -76,8 +76,8 @@
 	go func() { completed(attempt.Probe(ctx, u.attempt, t, u.loadFields)) }()
 }
 
-// attempt sends a request once. Only the choice of a connection is repeated, and only while
-// nothing has been written.
+// attempt sends a request once. Only the choice of a connection is repeated, as long as nothing
+// has been written.
 func (u *Upstream) attempt(ctx context.Context, t *engine.Target, m *engine.Message) engine.Result {
 	var response *attempt.Response
 	var start time.Time
