--- a/internal/upstream/secure/client.go
+++ b/internal/upstream/secure/client.go
@@ -19,15 +19,15 @@
 // Options configure a Client.
 type Options struct {
 	KeyStore *certstore.Store // own certificate and trusted roots
-	Names    *Names           // see Client.SetNames
+	Names    *Names           // initial names; see Client.SetNames
 	Budget   handshake.Config // rates of handshakes
-	Sessions int              // maximum number of sessions that may be resumed, over all servers
+	Sessions int              // maximum number of cached sessions, over all servers
 	Timeout  time.Duration    // of a handshake
 	Log      *slog.Logger
 	Now      func() time.Time // nil for time.Now
 }
 
-// Client performs handshakes with servers. Make one with New. It is safe for concurrent use.
+// Client performs handshakes with servers. Create one with New. It is safe for concurrent use.
 type Client struct {
 	options  Options
 	sessions *sessionStore
@@ -35,7 +35,7 @@
 
 	mu       sync.Mutex
 	budget   *handshake.Budget
-	loggedAt map[string]time.Time // last log event of a failure, by address and reason
+	loggedAt map[string]time.Time // time of the last log event of a failure, by address and reason
 	counters Counters
 }
 
@@ -44,16 +44,16 @@
 	Full, Resumed int              // handshakes that succeeded
 	Failed        map[string]int   // handshakes that failed, by the result of failureReason
 	Turns         handshake.Counts // results of the rate limit
-	Sessions      int              // sessions in the store now
+	Sessions      int              // sessions cached now
 }
 
-// New returns a client, or an error that names the invalid option.
+// New returns a client, or an error if an option is invalid.
 func New(o Options) (*Client, error) {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
 	if o.Sessions < 1 {
-		return nil, fmt.Errorf("secure: room for %d sessions", o.Sessions)
+		return nil, fmt.Errorf("secure: session cache capacity must be at least 1, got %d", o.Sessions)
 	}
 	budget, err := handshake.New(o.Budget)
 	if err != nil {
@@ -70,14 +70,14 @@
 	return c, nil
 }
 
-// SetNames has servers verified by other names from now on. An open connection takes no new
-// requests once its server goes by another name. n must not be modified afterwards.
+// SetNames replaces the names by which servers are verified. An open connection carries no new
+// requests once its server's name has changed. n must not be modified afterwards.
 func (c *Client) SetNames(n *Names) { c.names.Store(n) }
 
-// AwaitTurn waits until a handshake with a target may begin. It fails with attempt.ErrFull at once
-// where the rate limit allows none in time, and with ctx's error where ctx ends first.
+// AwaitTurn waits until a handshake with a target may begin. It fails at once with attempt.ErrFull
+// if the rate limit allows none in time, and with ctx's error if ctx ends first.
 func (c *Client) AwaitTurn(ctx context.Context, t *engine.Target) error {
-	// Half of the time is left to the handshake itself.
+	// Half of the time is reserved for the handshake itself.
 	maxWait := c.options.Timeout / 2
 	if deadline, ok := ctx.Deadline(); ok {
 		maxWait = min(maxWait, time.Until(deadline)/2)
@@ -91,7 +91,7 @@
 	begin, ok := c.budget.RequestTurn(now, t.Address, t.Started(), kind, maxWait)
 	c.mu.Unlock()
 	if !ok {
-		return fmt.Errorf("%w: handshake rate limit of %s", attempt.ErrFull, t.Address)
+		return fmt.Errorf("%w: handshake rate limit of %s exceeded", attempt.ErrFull, t.Address)
 	}
 	if delay := begin.Sub(now); delay > 0 && !ctxtime.Sleep(ctx, delay) {
 		return ctx.Err()
@@ -102,7 +102,7 @@
 // Retire drops the sessions of a target that was removed.
 func (c *Client) Retire(t *engine.Target) { c.sessions.invalidate(t) }
 
-// Counters returns the counters so far.
+// Counters returns a copy of the counters.
 func (c *Client) Counters() Counters {
 	sessions := c.sessions.count()
 	c.mu.Lock()
--- a/internal/upstream/secure/conn.go
+++ b/internal/upstream/secure/conn.go
@@ -16,14 +16,14 @@
 // concurrently.
 func (c *conn) Usable(now time.Time) bool { return c.lifetime.isUsable(now) }
 
-// lifetime decides for how long a connection may carry new requests: as long as keys and trust
-// allow it, and as long as its server goes by the name that it was verified by.
+// lifetime decides how long a connection may carry new requests: as long as keys and trust allow
+// it, and as long as its server's certificate name is the one that was verified.
 type lifetime struct {
 	keys   *certstore.Lifetime
 	client *Client
 	server string // name in membership
 	name   string // name in the certificate
-	names  *Names // under which name was last confirmed
+	names  *Names // names by which name was last confirmed
 }
 
 // isUsable reports whether the connection may carry new requests. It must not be called
--- a/internal/upstream/secure/doc.go
+++ b/internal/upstream/secure/doc.go
@@ -4,10 +4,10 @@
 // verified fails before a byte of a request is sent, so that the request never ran.
 //
 //	client.go     Client, its options and counters, turns for handshakes
-//	handshake.go  one handshake over TCP or QUIC, its failure reasons and their log event
-//	conn.go       for how long an open connection may carry new requests
-//	sessions.go   sessions that may be resumed
-//	names.go      the name that each server is verified by
+//	handshake.go  one handshake over TCP or QUIC, the reasons for its failure and their log event
+//	conn.go       how long an open connection may carry new requests
+//	sessions.go   cache of sessions for resumption
+//	names.go      the name that each server's certificate must be for
 //
 // A Client is guarded by its own locks and starts no goroutine. Sessions, counters and the rate
 // limit are kept in memory only: after a restart every handshake is a full one.
--- a/internal/upstream/secure/handshake.go
+++ b/internal/upstream/secure/handshake.go
@@ -19,7 +19,7 @@
 	// logInterval is the shortest time between two log events of the same failure of the same
 	// server, so that a fleet with an expired certificate does not fill the disk.
 	logInterval = time.Minute
-	// maxLoggedFailures bounds the failures that are remembered for that.
+	// maxLoggedFailures bounds the failures whose last log event is recorded.
 	maxLoggedFailures = 1024
 )
 
@@ -28,8 +28,8 @@
 	client     *Client
 	target     *engine.Target
 	names      *Names
-	name       string // that the target must be verified by
-	generation int    // number of the keys and roots in use
+	name       string // that the target's certificate must be for
+	generation int    // generation of the keys and roots in use
 	config     *tls.Config
 	presented  []*x509.Certificate // by the target
 }
@@ -54,8 +54,8 @@
 	return h, nil
 }
 
-// fail counts and logs the failure of a handshake, and returns its error. It invalidates the
-// session that the handshake may have resumed, so that the next one is a full one.
+// fail counts and logs the failure of a handshake, and returns err. It invalidates the target's
+// cached sessions, one of which the handshake may have resumed, so that the next one is full.
 func (h *clientHandshake) fail(err error) error {
 	h.client.sessions.invalidate(h.target)
 	reason := failureReason(err)
@@ -112,8 +112,8 @@
 	return lifetime{keys: keys, client: c, server: h.target.Name, name: h.name, names: h.names}
 }
 
-// Secure performs a handshake over raw. It closes raw where it fails: nothing of a request has
-// been sent then.
+// Secure performs a handshake over raw. It closes raw if the handshake fails: no part of a request
+// has been sent then.
 func (c *Client) Secure(ctx context.Context, t *engine.Target, raw net.Conn) (attempt.Session, error) {
 	h, err := c.newHandshake(t, protocolHTTP1)
 	if err != nil {
@@ -131,8 +131,9 @@
 }
 
 // QUIC returns the TLS configuration of one handshake over QUIC, and a function that must be
-// called with its result. The function returns whether the connection may carry new requests at
-// an instant, as a function that must not be called concurrently; it is nil after an error.
+// called with the handshake's result. After a success that function returns another one, which
+// reports whether the connection may carry new requests at an instant and must not be called
+// concurrently; after an error it returns nil.
 func (c *Client) QUIC(t *engine.Target) (
 	config *tls.Config, end func(tls.ConnectionState, error) (usable func(now time.Time) bool), err error) {
 	h, err := c.newHandshake(t, protocolHTTP3)
@@ -145,7 +146,7 @@
 // endQUIC records the result of a handshake over QUIC. See Client.QUIC.
 func (h *clientHandshake) endQUIC(state tls.ConnectionState, err error) (usable func(now time.Time) bool) {
 	if err != nil {
-		_ = h.fail(err) // the caller has the error
+		_ = h.fail(err) // the caller already has the error
 		return nil
 	}
 	keys := h.client.options.KeyStore.Lifetime(state, x509.ExtKeyUsageServerAuth, h.generation)
@@ -153,8 +154,8 @@
 	return connLifetime.isUsable
 }
 
-// Reasons of failed handshakes beside the rules of certificates, as counters and log events
-// state them.
+// Reasons of failed handshakes other than the rules of certificates, as stated in counters and log
+// events.
 const (
 	reasonTimeout   = "silent"
 	reasonCancelled = "called off"
@@ -167,12 +168,12 @@
 // failureReason returns why a handshake has failed, for counters and log events.
 //
 //	a rule of package validate  the server's certificate was rejected
-//	silent                   the handshake did not complete within its timeout
-//	called off               the attempt was cancelled
-//	refused                  the server has sent an alert: it may require a client certificate
-//	not TLS                  the server speaks another protocol
-//	broken                   the connection ended
-//	other                    anything else, such as no common version or protocol
+//	silent                      the handshake did not complete within its timeout
+//	called off                  the attempt was cancelled
+//	refused                     the server has sent an alert: it may require a client certificate
+//	not TLS                     the server uses another protocol
+//	broken                      the connection ended
+//	other                       anything else, such as no common version or protocol
 func failureReason(err error) string {
 	var fault *validate.Fault
 	var remote *net.OpError
--- a/internal/upstream/secure/names.go
+++ b/internal/upstream/secure/names.go
@@ -13,39 +13,39 @@
 	maxHostNameBytes = 253
 )
 
-// namePlaceholder stands for a server's name in membership.
+// namePlaceholder is replaced by a server's name in membership.
 const namePlaceholder = "{name}"
 
 // Names states which name each server's certificate must be for: one configured for the server,
-// or one made of its name in membership by a pattern. It is never a name that the server itself
-// presents.
+// or one derived by a pattern from its name in membership. It is never taken from the certificate
+// that the server presents.
 type Names struct {
 	Pattern  string            // may contain namePlaceholder, as in "{name}.example.org"
 	ByServer map[string]string // by the server's name in membership; takes precedence over Pattern
 }
 
-// CertificateName returns the name that a server's certificate must be for. An error means that the server
-// cannot be verified: nothing may be sent to it.
+// CertificateName returns the name that a server's certificate must be for. If it returns an error, the server
+// cannot be verified and nothing may be sent to it.
 func (n *Names) CertificateName(server string) (string, error) {
 	if configured := n.ByServer[server]; configured != "" {
 		return configured, nil
 	}
 	if n.Pattern == "" {
-		return "", fmt.Errorf("no name is known to verify %q by", server)
+		return "", fmt.Errorf("no certificate name is configured for server %q", server)
 	}
 	if !strings.Contains(n.Pattern, namePlaceholder) {
 		return n.Pattern, nil
 	}
-	// Membership is input from outside: a dot, a slash or a star in a name would make another
-	// name than the operator has meant.
+	// Membership is untrusted input: a dot, a slash or an asterisk in a name would result in another
+	// name than the operator intended.
 	if !isLabel(server) {
-		return "", fmt.Errorf("%q is no single label of a name, and cannot take the place of %s", server, namePlaceholder)
+		return "", fmt.Errorf("server name %q is not a single host name label and cannot replace %s", server, namePlaceholder)
 	}
 	return strings.ReplaceAll(n.Pattern, namePlaceholder, server), nil
 }
 
-// isLabel reports whether a text is one label of a host name (RFC 1123, section 2.1), or has
-// underscores, which are in use, too.
+// isLabel reports whether a text is one label of a host name (RFC 1123, section 2.1). Underscores
+// are allowed as well, since they are in use.
 func isLabel(text string) bool {
 	if text == "" || len(text) > maxLabelBytes || text[0] == '-' || text[len(text)-1] == '-' {
 		return false
@@ -58,13 +58,13 @@
 	return true
 }
 
-// CheckName returns an error where a text is neither a host name, an address or a SPIFFE ID, nor
-// a pattern of one.
+// CheckName returns an error unless a text is a host name, an IP address or a SPIFFE ID, or a
+// pattern of one.
 func CheckName(name string) error {
 	example := strings.ReplaceAll(name, namePlaceholder, "name")
 	if strings.HasPrefix(name, "spiffe://") {
 		if !isSPIFFEID(example) {
-			return fmt.Errorf("%q is no SPIFFE ID, such as spiffe://example.org/soko/%s", name, namePlaceholder)
+			return fmt.Errorf("%q is not a SPIFFE ID such as spiffe://example.org/soko/%s", name, namePlaceholder)
 		}
 		return nil
 	}
@@ -73,14 +73,14 @@
 	}
 	for part := range strings.SplitSeq(example, ".") {
 		if !isLabel(part) || len(example) > maxHostNameBytes {
-			return fmt.Errorf("%q is no host name, address or SPIFFE ID", name)
+			return fmt.Errorf("%q is not a host name, IP address or SPIFFE ID", name)
 		}
 	}
 	return nil
 }
 
-// isSPIFFEID reports whether a URL has a trust domain and a path and nothing else (SPIFFE ID,
-// section 2).
+// isSPIFFEID reports whether a URL consists of a scheme, a trust domain and a path only (SPIFFE
+// ID, section 2). The caller has checked the scheme.
 func isSPIFFEID(text string) bool {
 	id, err := url.Parse(text)
 	if err != nil || id.Host == "" || id.Path == "" {
--- a/internal/upstream/secure/sessions.go
+++ b/internal/upstream/secure/sessions.go
@@ -8,7 +8,7 @@
 	"pinedale/internal/engine"
 )
 
-// Protocols, by their ALPN names.
+// Protocols by their ALPN names.
 const (
 	protocolHTTP1 = "http/1.1"
 	protocolHTTP3 = "h3"
@@ -22,9 +22,9 @@
 //	                          lists have changed, or when a handshake with the server has failed
 //	a session is evicted      when the store is at capacity and it is the least recently used
 //
-// A session proves that the server is the one that was verified when the session began, and no
-// more. Its chain is therefore verified again, by the roots and the time of now, whenever it is
-// resumed (certstore.Store.Client).
+// A session proves only that the server is the one that was verified when the session began.
+// Whenever it is resumed, its certificate chain is therefore verified again, by the current roots
+// and time (certstore.Store.Client).
 type sessionStore struct {
 	mu       sync.Mutex
 	capacity int
@@ -41,7 +41,7 @@
 // cachedSession is an entry of the store.
 type cachedSession struct {
 	sessionKey
-	generation int // number of the keys and roots that it began under
+	generation int // generation of the keys and roots that it began under
 	state      *tls.ClientSessionState
 }
 
@@ -55,7 +55,7 @@
 	return &sessionCache{s, sessionKey{t, protocol}, generation}
 }
 
-// sessionCache is the store as one handshake sees it. It implements tls.ClientSessionCache,
+// sessionCache is the view that one handshake has of the store. It implements tls.ClientSessionCache,
 // whose key it ignores: that is a name, which several incarnations of a server share.
 type sessionCache struct {
 	store *sessionStore
@@ -80,9 +80,9 @@
 	return session.state, true
 }
 
-// Put stores a session, or removes it where state is nil: crypto/tls has found it invalid. A
-// ticket may arrive long after its handshake: it is stored under that handshake's keys, and not
-// at all once the target was removed.
+// Put stores a session, or removes it if state is nil: crypto/tls has found it invalid. A ticket
+// may arrive long after its handshake: it is stored under that handshake's keys, and dropped if
+// the target has been removed.
 func (c *sessionCache) Put(_ string, state *tls.ClientSessionState) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
@@ -98,14 +98,14 @@
 	}
 	existing := element.Value.(*cachedSession)
 	if existing.generation > c.generation {
-		return // a later connection has already stored a better one
+		return // a handshake with newer keys has already stored a session
 	}
 	*existing = session
 	c.store.recency.MoveToFront(element)
 }
 
-// insertLocked adds a session and evicts the least recently used one where the store is at
-// capacity. The caller holds s.mu.
+// insertLocked adds a session and evicts the least recently used one if the store is at capacity.
+// The caller holds s.mu.
 func (s *sessionStore) insertLocked(session *cachedSession) {
 	if s.recency.Len() >= s.capacity {
 		s.removeLocked(s.recency.Back())
