--- a/internal/upstream/byprotocol/byprotocol.go
+++ b/internal/upstream/byprotocol/byprotocol.go
@@ -2,8 +2,8 @@
 // all others.
 //
 // Each attempt uses one protocol. An attempt that could not be sent is not repeated over the
-// other one: it ends as not run, and the balancer decides what follows. Package protocol chooses
-// the protocol; its state is guarded by Upstream.mu and not kept over a restart.
+// other one: its outcome is that it did not run, and the balancer decides whether to retry.
+// Package protocol chooses the protocol; its state is guarded by Upstream.mu and lost on a restart.
 package byprotocol
 
 import (
@@ -17,7 +17,7 @@
 	"pinedale/internal/upstream/protocol"
 )
 
-// Upstream sends requests over one of two protocols. Make one with New. It is safe for
+// Upstream sends requests over one of two protocols. Create one with New. It is safe for
 // concurrent use.
 type Upstream struct {
 	http1 *httpupstream.Upstream
@@ -36,7 +36,7 @@
 	return u, err
 }
 
-// Close closes all connections over HTTP/3.
+// Close closes all HTTP/3 connections.
 func (u *Upstream) Close() error { return u.http3.Close() }
 
 // recordResult records the result of an attempt to use HTTP/3.
@@ -46,8 +46,8 @@
 	u.tracker.Record(time.Now(), t.Address, result)
 }
 
-// useHTTP3 reports whether a request to a target goes over HTTP/3. Where that is not known yet
-// it has a connection opened in the background.
+// useHTTP3 reports whether a request to a target is sent over HTTP/3. If the target is not known to
+// support it and an attempt is due, a connection is opened in the background.
 func (u *Upstream) useHTTP3(t *engine.Target) bool {
 	u.mu.Lock()
 	supported, attempt := u.tracker.Choose(time.Now(), t.Address)
@@ -58,7 +58,7 @@
 	return supported
 }
 
-// carrier carries out the attempts of one request, each over one protocol.
+// carrier sends the attempts of one request, each over one protocol.
 type carrier struct {
 	upstream     *Upstream
 	http1, http3 engine.Carrier
@@ -78,7 +78,7 @@
 	}
 }
 
-// Cancel cancels an attempt. Over both protocols an attempt ends by its own Abort.
+// Cancel cancels an attempt. Over both protocols Abort ends it.
 func (c *carrier) Cancel(a *engine.Attempt) { a.Abort() }
 
 // Probe sends a health check over the protocol that the endpoint's requests use.
@@ -90,8 +90,8 @@
 	}
 }
 
-// Retire drops a target's connections and what is known of its protocol: the next target at its
-// address may be another program.
+// Retire drops a target's connections and the recorded protocol support of its address, since the
+// next target at the address may be another program.
 func (u *Upstream) Retire(t *engine.Target) {
 	u.http1.Retire(t)
 	u.http3.Retire(t)
--- a/internal/upstream/handshake/config.go
+++ b/internal/upstream/handshake/config.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Config is what an operator allows. Rates are in handshakes per second of this instance.
+// Config holds the limits that an operator sets. Rates are in handshakes per second of this instance.
 type Config struct {
-	PerServer          float64       // rate with one server that is not warming up
+	PerServer          float64       // rate with one server that is past its slow start
 	All                float64       // rate with all servers together
 	InitialWarmupRatio float64       // ratio of PerServer for a server that has just started; it rises to 1
 	WarmWithin         time.Duration // time from a server's start until the ratio is 1
 	Burst              float64       // handshakes with one server at once after a pause; All allows one second's worth
 }
 
-// maxRate is the largest valid rate and burst.
+// maxRate is the largest valid rate or burst.
 const maxRate = 1e6
 
 // Validate returns an error that names the first invalid field.
@@ -31,14 +31,15 @@
 		{"Burst", c.Burst, c.Burst >= 1 && c.Burst <= maxRate},
 	} {
 		if !field.valid {
-			return fmt.Errorf("handshake: %s is %v", field.name, field.value)
+			return fmt.Errorf("handshake: %s out of range: %v", field.name, field.value)
 		}
 	}
 	return nil
 }
 
-// Share returns one instance's part of what all instances together may use of a server, at least
-// minRate handshakes per second. All applies to each instance by itself and is not divided.
+// Share returns one instance's share of the limits that hold for all instances together, at least
+// minRate handshakes per second with one server. All applies to each instance separately and is
+// not divided.
 func (c Config) Share(instances int, minRate float64) Config {
 	divisor := float64(max(1, instances))
 	c.PerServer = max(minRate, c.PerServer/divisor)
@@ -47,9 +48,9 @@
 	return c
 }
 
-// warmupRatio returns the ratio of its rate that a server may be given. startedAt is zero for a
-// server that has long been running. A start in the future is the effect of unsynchronised
-// clocks: the server has just started.
+// warmupRatio returns the ratio of PerServer that applies to a server. startedAt is zero for a
+// server that is past its slow start. A start in the future results from unsynchronised clocks and
+// counts as a start just now.
 func (c *Config) warmupRatio(now, startedAt time.Time) float64 {
 	if startedAt.IsZero() || c.WarmWithin <= 0 {
 		return 1
--- a/internal/upstream/handshake/doc.go
+++ b/internal/upstream/handshake/doc.go
@@ -3,26 +3,26 @@
 // a change of keys all instances reconnect at once, and the handshakes alone would overload a
 // server that has just started.
 //
-// Each server has a rate, and so has the instance as a whole. Both are kept by the generic cell
-// rate algorithm (ITU-T I.371, annex A): one instant each, the theoretical arrival time, in
-// place of a token bucket. A caller requests a turn, the instant at which its handshake may
-// begin:
+// Each server has a rate, and so has the instance as a whole. Both are enforced by the generic cell
+// rate algorithm (ITU-T I.371, annex A), which stores one instant each, the theoretical arrival
+// time, instead of a token bucket. A caller requests a turn, the instant at which its handshake may
+// begin, and states how long it can wait for it:
 //
-//	for                                   result
-//	a request, both rates have capacity   a turn now
-//	a request, a turn within its          a turn at that instant
-//	patience
-//	a request, a turn only after its      rejected at once: the request goes elsewhere unsent
-//	patience
-//	background, more than half a burst    a turn now
+//	caller                                  result
+//	a request, both rates have capacity     a turn now
+//	a request, a turn within its maximum    a turn at that instant
+//	wait
+//	a request, a turn only after its        rejected at once: the request is sent elsewhere
+//	maximum wait
+//	background, more than half a burst      a turn now
 //	of both rates is left
-//	background, otherwise                 rejected: it tries again later
+//	background, otherwise                   rejected: the caller tries again later
 //
-// So background work (health checks, connections opened ahead) never takes a turn that a request
-// would have had, and in any span of t seconds no server gets more than burst + rate*t of this
-// instance's handshakes. A server that is warming up has only part of its rate and burst, as it
-// has of its capacity for requests. With every instance held to a share of what a server can do,
-// all of them together are, too.
+// Background work (health checks, connections opened in advance) therefore never takes a turn that
+// a request would have had, and in any span of t seconds no server gets more than burst + rate*t of
+// this instance's handshakes. A server in slow start has only part of its rate and burst, as it has
+// of its capacity for requests. Since each instance is limited to its share of what a server can
+// handle, all instances together stay within it, too.
 //
 // The package does no I/O and reads no clock. A Budget is guarded by its owner and kept in memory
 // only: after a restart all rates have their full burst.
--- a/internal/upstream/handshake/handshake.go
+++ b/internal/upstream/handshake/handshake.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind states what a connection is wanted for.
+// Kind states what a handshake is for.
 type Kind uint8
 
 // The kinds of handshakes.
@@ -15,14 +15,14 @@
 type Counts struct {
 	Immediate int // turns granted at once
 	Delayed   int // turns granted at a later instant
-	Rejected  int // requests rejected: no turn within their patience
-	Deferred  int // background work rejected
+	Rejected  int // requests rejected: no turn within their maximum wait
+	Deferred  int // background handshakes rejected
 }
 
-// minSweepServers is the number of servers that are remembered without looking for idle ones.
+// minSweepServers is the number of servers up to which idle ones are not removed.
 const minSweepServers = 64
 
-// Budget holds the rates of one instance. Make one with New. It is not safe for concurrent use.
+// Budget holds the rates of one instance. Create one with New. It is not safe for concurrent use.
 type Budget struct {
 	config  Config
 	epoch   time.Time // instants are in seconds since the first call of RequestTurn
@@ -33,7 +33,7 @@
 }
 
 // rateState is the state of one rate: its theoretical arrival time, in seconds since the
-// budget's epoch. How far it lies ahead of now is how much of the burst is used up.
+// budget's epoch. The further it is ahead of now, the more of the burst is used up.
 type rateState struct{ arrival float64 }
 
 // earliest returns the earliest instant at which a handshake may begin.
@@ -41,10 +41,10 @@
 	return max(now, s.arrival-(burst-1)/rate)
 }
 
-// take uses one handshake of the rate at an instant.
+// take consumes one handshake of the rate at an instant.
 func (s *rateState) take(instant, rate float64) { s.arrival = max(s.arrival, instant) + 1/rate }
 
-// New returns a budget with all of its burst left.
+// New returns a budget with its full burst.
 func New(c Config) (*Budget, error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
@@ -53,9 +53,9 @@
 }
 
 // RequestTurn returns the instant at which a handshake with a server may begin. startedAt is the
-// server's start, zero where it has long been running. A turn that is granted is used up,
-// whether the handshake takes place or not. ok is false where there is none within patience;
-// nothing is used up then.
+// time at which the server started, or zero if it is past its slow start. A granted turn is used
+// up, whether or not the handshake takes place. If there is no turn within maxWait, ok is false
+// and nothing is used up.
 func (b *Budget) RequestTurn(now time.Time, server string, startedAt time.Time, kind Kind, maxWait time.Duration) (
 	begin time.Time, ok bool) {
 	if b.epoch.IsZero() {
@@ -67,7 +67,7 @@
 	totalRate, totalBurst := b.config.All, max(1, b.config.All)
 	state := b.serverState(server, instant)
 	if kind == Background {
-		// What is left must still serve a request, and half a burst of them.
+		// At least (burst+1)/2 handshakes must be left, so that (burst-1)/2 remain for requests.
 		turn := max(state.earliest(instant, rate, (burst+1)/2),
 			b.total.earliest(instant, totalRate, (totalBurst+1)/2))
 		if turn > instant {
@@ -91,7 +91,7 @@
 	return now, true
 }
 
-// serverState returns the state of a server's rate, a new one where none is remembered.
+// serverState returns the state of a server's rate, and creates it if there is none.
 func (b *Budget) serverState(server string, instant float64) *rateState {
 	if state := b.servers[server]; state != nil {
 		return state
@@ -104,7 +104,7 @@
 	return state
 }
 
-// removeIdle forgets servers that have their full burst again: they equal new ones.
+// removeIdle removes servers that have their full burst again: their state equals a new one.
 func (b *Budget) removeIdle(instant float64) {
 	for server, state := range b.servers {
 		if state.arrival <= instant {
--- a/internal/upstream/idle/idle.go
+++ b/internal/upstream/idle/idle.go
@@ -1,13 +1,13 @@
-// Package idle estimates for how long a cached connection may stand idle and still be used for
-// a request.
+// Package idle estimates for how long a cached connection may be idle and still be used for a
+// request.
 //
-// A deployment states after which time servers close idle connections. What stands between, a
-// NAT or a firewall, may drop them far sooner without notice: the next request on such a
-// connection is reset, and its sender cannot tell whether it has run. The estimator counts by
-// idle time how many connections are reset at their next use, and limits the idle time to what
-// has proven to last.
+// A deployment states after which time servers close idle connections. A NAT or a firewall on the
+// path may drop them far sooner without notice: the next request on such a connection is reset,
+// and its sender cannot determine whether it has run. The estimator counts by idle time how many
+// connections are reset at their next use, and limits the idle time to what connections are
+// observed to survive.
 //
-// The package does no I/O, reads no clock and keeps nothing over a restart.
+// The package does no I/O and reads no clock. Its state is lost on a restart.
 package idle
 
 import (
@@ -18,21 +18,21 @@
 const (
 	// binCount is the number of bins of idle time, each twice as wide as the one before.
 	binCount = 12
-	// minIdleTime is the upper bound of the first bin: so short an idle time by itself gets no
-	// connection dropped, so that the bin's resets are the baseline.
+	// minIdleTime is the upper bound of the first bin. An idle time this short does not cause a
+	// connection to be dropped, so that the bin's resets are the baseline.
 	minIdleTime = 25 * time.Millisecond
 	// decayHalfLife is the half-life of observations. Once they have decayed, longer idle times
-	// are used again, by as many requests as it takes to prove that they are still reset.
+	// are tried again, with as many requests as it takes to prove that they are still reset.
 	decayHalfLife = 10 * time.Second
-	// resetMargin is the ratio of resets above the baseline at which a new connection is cheaper.
+	// resetMargin is the ratio of resets above the baseline from which a new connection is cheaper.
 	resetMargin = 0.1
 	// confidenceSigmas is the number of standard deviations by which resets must exceed the margin.
 	confidenceSigmas = 2
 )
 
-// MaxStaleResetDelay is the longest time between a write on a connection that was closed before
-// and the reset: more than a round trip between sites. A connection that is reset later broke
-// while the request was in flight.
+// MaxStaleResetDelay is the longest time from a write on a connection that was already closed to
+// the reset: more than a round trip between sites. A connection that is reset later broke while
+// the request was in flight.
 const MaxStaleResetDelay = 50 * time.Millisecond
 
 // An Estimator holds the observations and the limit derived from them. The zero value has no
@@ -40,7 +40,7 @@
 type Estimator struct {
 	bins      [binCount]counts
 	updatedAt time.Time // all bins are decayed to this instant
-	limitBin  int       // first bin whose idle times are not used; 0 for none
+	limitBin  int       // first bin whose idle times are not used; 0 if all are
 }
 
 // counts are the decayed observations of one bin.
@@ -83,7 +83,7 @@
 
 // updateLimit finds the first bin from which on resets exceed the baseline. A bin without
 // observations is judged by all longer idle times together, since a connection that was closed
-// after a shorter time does not open again.
+// after a shorter time stays closed.
 func (e *Estimator) updateLimit() {
 	e.limitBin = 0
 	baseline := e.bins[0].resets / max(1, e.bins[0].uses)
@@ -98,13 +98,13 @@
 	}
 }
 
-// exceeds reports whether the resets are above the baseline ratio by the margin, and too many
-// to be chance.
+// exceeds reports whether the resets exceed the baseline ratio by the margin, with statistical
+// significance.
 func (c counts) exceeds(baseline float64) bool {
 	return c.resets-confidenceSigmas*math.Sqrt(c.resets) > (baseline+resetMargin)*c.uses && c.resets > 0
 }
 
-// Limit returns the idle time from which on a connection must not be used, at most maxIdle.
+// Limit returns the idle time, at most maxIdle, from which on a connection must not be used.
 func (e *Estimator) Limit(now time.Time, maxIdle time.Duration) time.Duration {
 	e.decay(now)
 	e.updateLimit()
