--- a/internal/upstream/http3upstream/exchange.go
+++ b/internal/upstream/http3upstream/exchange.go
@@ -15,9 +15,9 @@
 // responseTimeout bounds the time from a response's header to its last byte, as over HTTP/1.1.
 const responseTimeout = 100 * time.Millisecond
 
-// exchange sends one request on a stream of its own and reads the complete response. Its error is
-// an attempt.UnsentError where no stream was opened; after any other error the request may have run.
-// ClientConn.RoundTrip uses this connection alone, once.
+// exchange sends one request on a stream of its own and reads the complete response. The error is
+// an attempt.UnsentError if no stream was opened; after any other error the request may have run.
+// ClientConn.RoundTrip uses only this connection and does not retry.
 func exchange(ctx context.Context, c *conn, t *engine.Target, m *engine.Message) (*attempt.Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -32,7 +32,8 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	// A response that has begun and stalls would hold its request until the client's deadline.
+	// Without a timeout, a response that has begun and then stalls would block its request until the
+	// client's deadline.
 	responseTimer := time.AfterFunc(responseTimeout, cancel)
 	defer responseTimer.Stop()
 	body, err := attempt.ReadBody(response.Body)
@@ -42,7 +43,7 @@
 	return &attempt.Response{StatusCode: response.StatusCode, Header: response.Header, Body: body}, nil
 }
 
-// newRequest returns a message as a request to a target.
+// newRequest converts a message to a request to a target.
 func newRequest(ctx context.Context, t *engine.Target, m *engine.Message) *http.Request {
 	request := &http.Request{
 		Method:        m.Method,
--- a/internal/upstream/http3upstream/pool.go
+++ b/internal/upstream/http3upstream/pool.go
@@ -15,16 +15,16 @@
 	"pinedale/internal/upstream/protocol"
 )
 
-// idleTimeout is how long a network path may carry nothing before its connection is given up.
-// Keep-alive packets at a third of it prove that the path works.
+// idleTimeout is how long a connection may receive no packets before it is closed as broken.
+// Keep-alive packets at a third of it show that the network path works.
 const idleTimeout = 5 * time.Second
 
-// conn is a connection, perhaps one that is still being dialled.
+// conn is a connection, which may still be being dialled.
 type conn struct {
 	target *engine.Target
 
 	// ready is closed once the dial has ended. The next fields are set before that and not
-	// changed afterwards.
+	// modified afterwards.
 	ready  chan struct{}
 	quic   *quic.Conn
 	client *http3.ClientConn
@@ -32,9 +32,9 @@
 	err    error                    // of the dial
 
 	// Guarded by Upstream.mu.
-	inFlight int // requests on the connection, those that wait for it included
+	inFlight int // requests on the connection, including those that wait for it
 	lastUsed time.Time
-	draining bool // it takes no new requests
+	draining bool // accepts no new requests
 	closed   bool
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// Retire has a target's connection closed once its requests have completed.
+// Retire drains a target's connection: it is closed once its requests have completed.
 func (u *Upstream) Retire(t *engine.Target) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -69,7 +69,7 @@
 	u.options.Secure.Retire(t)
 }
 
-// Prune closes connections that have been without requests for too long, or are broken.
+// Prune closes connections that have had no requests for too long, or are broken.
 func (u *Upstream) Prune() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// drainLocked gives a connection no new requests, and closes it once it has none in flight. The
-// caller holds u.mu.
+// drainLocked lets a connection accept no new requests, and closes it once it has none in flight.
+// The caller holds u.mu.
 func (u *Upstream) drainLocked(c *conn) {
 	if !c.draining {
 		c.draining = true
@@ -95,7 +95,7 @@
 	c.closed = true
 	u.open--
 	if c.quic == nil || !u.trackGoroutineLocked() {
-		return // no connection, or one that ends with the transport
+		return // no connection was established, or it ends with the transport
 	}
 	go func() {
 		defer u.running.Done()
@@ -103,7 +103,7 @@
 	}()
 }
 
-// abandon gives a connection no new requests.
+// abandon drains a connection that failed to open a stream, and reports the failure.
 func (u *Upstream) abandon(c *conn) {
 	u.mu.Lock()
 	u.drainLocked(c)
@@ -111,8 +111,8 @@
 	u.reportResult(c.target, protocol.Failed)
 }
 
-// acquire returns the connection to a target with one more request in flight: release must
-// follow. It waits until the connection is established, but not beyond ctx.
+// acquire returns the connection to a target with one more request in flight: release must be
+// called afterwards. It waits until the connection is established, but not beyond ctx.
 func (u *Upstream) acquire(ctx context.Context, t *engine.Target) (*conn, error) {
 	c, err := u.reserve(t, attempt.IsProbe(ctx))
 	if err != nil {
@@ -131,8 +131,8 @@
 	return c, nil
 }
 
-// reserve returns the connection to a target with one more request in flight. It begins to dial
-// where there is none.
+// reserve returns the connection to a target with one more request in flight. It starts a dial if
+// there is no connection.
 func (u *Upstream) reserve(t *engine.Target, probe bool) (*conn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -140,8 +140,8 @@
 		return nil, attempt.ErrClosed
 	}
 	c := u.conns[t]
-	// usable is not called in Prune, which runs on the engine's goroutine: after a change of
-	// keys it verifies a certificate chain.
+	// usable is called here and not in Prune, which runs on the engine's goroutine: after a
+	// change of keys it verifies a certificate chain.
 	if c != nil && (c.isBroken() || c.isReady() && !c.usable(time.Now())) {
 		u.drainLocked(c)
 		c = nil
@@ -170,15 +170,15 @@
 	}
 }
 
-// dial establishes a connection and reports the result. It serves all requests that wait for the
-// connection, so that it doesn't end with the context of one of them.
+// dial establishes a connection and reports the result. All requests that wait for the connection
+// share it, so it does not end with the context of one of them.
 func (u *Upstream) dial(c *conn, probe bool) {
 	ctx, cancel := context.WithTimeout(u.ctx, u.options.DialTimeout)
 	defer cancel()
 	if probe {
 		ctx = attempt.ForProbe(ctx)
 	}
-	// A name may take long to resolve: Close waits for the handshake only.
+	// The resolution of a name may take long: Close waits only for the handshake.
 	address, err := net.ResolveUDPAddr("udp", c.target.Address)
 	if u.trackGoroutine() {
 		defer u.running.Done()
@@ -198,7 +198,7 @@
 	}
 }
 
-// connect performs the handshake with a connection's target at an address.
+// connect performs the handshake with a connection's target at a resolved address.
 func (u *Upstream) connect(ctx context.Context, c *conn, address *net.UDPAddr) error {
 	if err := u.options.Secure.AwaitTurn(ctx, c.target); err != nil {
 		return err
@@ -211,7 +211,7 @@
 		HandshakeIdleTimeout: u.options.DialTimeout,
 		MaxIdleTimeout:       idleTimeout,
 		KeepAlivePeriod:      idleTimeout / 3,
-		MaxIncomingStreams:   -1, // none
+		MaxIncomingStreams:   -1, // none allowed
 	})
 	if err != nil {
 		end(tls.ConnectionState{}, err)
--- a/internal/upstream/http3upstream/streamwait.go
+++ b/internal/upstream/http3upstream/streamwait.go
@@ -12,21 +12,22 @@
 )
 
 // streamTimeout bounds the wait for a stream: an endpoint that responds on UDP may accept no
-// new ones. The request then goes elsewhere, since it was not sent.
+// new streams. The request is then sent elsewhere, since it was not sent here.
 const streamTimeout = 100 * time.Millisecond
 
 // streamWait bounds the time that one request waits for a stream.
 type streamWait struct {
 	conn   *quic.Conn
 	cancel func()      // ends the request
-	opened atomic.Bool // a stream was opened, which the request's first written byte shows
+	opened atomic.Bool // a stream was opened, as shown by the request's first written byte
 
 	mu    sync.Mutex
 	ended bool
 	timer *time.Timer
 }
 
-// newStreamWait starts to bound a request's wait for a stream of a connection. stop must follow.
+// newStreamWait starts the timer for a request's wait for a stream of a connection. stop must be
+// called afterwards.
 func newStreamWait(conn *quic.Conn, cancel func()) *streamWait {
 	w := &streamWait{conn: conn, cancel: cancel}
 	w.mu.Lock()
@@ -35,8 +36,8 @@
 	return w
 }
 
-// expire cancels a request that has no stream, if the endpoint accepts none. Otherwise it is this
-// process that has not run for so long: the request need not wait, and the endpoint is not at fault.
+// expire cancels a request that has no stream, if the endpoint accepts none. If it accepts one, the
+// delay is due to this process, which was not scheduled, and not to the endpoint: the wait goes on.
 func (w *streamWait) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,7 +58,7 @@
 	w.timer.Stop()
 }
 
-// traceContext returns a context for a request that sets opened.
+// traceContext returns a request context that sets w.opened on the first write.
 func (w *streamWait) traceContext(ctx context.Context) context.Context {
 	setOpened := func() { w.opened.Store(true) }
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -67,9 +68,9 @@
 	})
 }
 
-// acceptsStream reports whether a connection's endpoint accepts one more stream. It opens that
-// stream and resets it without having written anything, so that the endpoint sees no request.
-// It reports false where requests wait for streams.
+// acceptsStream reports whether a connection's endpoint accepts one more stream. It opens a stream
+// and resets it without having written anything, so that the endpoint sees no request. It returns
+// false if requests are waiting for streams.
 func acceptsStream(conn *quic.Conn) bool {
 	stream, err := conn.OpenStream()
 	if err != nil {
--- a/internal/upstream/http3upstream/upstream.go
+++ b/internal/upstream/http3upstream/upstream.go
@@ -17,14 +17,15 @@
 	"pinedale/internal/upstream/protocol"
 )
 
-// A Securer verifies endpoints, and decides when a handshake may begin.
+// A Securer verifies endpoints and decides when a handshake may begin.
 type Securer interface {
-	// AwaitTurn waits until a handshake with a target may begin. It fails with attempt.ErrFull where
+	// AwaitTurn waits until a handshake with a target may begin. It fails with attempt.ErrFull if
 	// the rate limit allows none in time.
 	AwaitTurn(ctx context.Context, t *engine.Target) error
 	// QUIC returns the TLS configuration of one handshake, and a function that must be called
-	// with its result. That returns whether the connection may carry new requests at an instant,
-	// as a function that is not called concurrently, nor after an error.
+	// with the handshake's result. After a success that function returns another one, which
+	// reports whether the connection may carry new requests at an instant and is not called
+	// concurrently.
 	QUIC(t *engine.Target) (
 		config *tls.Config, end func(tls.ConnectionState, error) (usable func(now time.Time) bool), err error)
 	// Retire drops what is cached for a target that was removed.
@@ -35,16 +36,16 @@
 type Options struct {
 	Secure      Securer
 	DialTimeout time.Duration
-	Idle        time.Duration // after which a connection without requests is closed
-	Connections int           // limit of open connections, those being dialled included
+	Idle        time.Duration // time after which a connection without requests is closed
+	Connections int           // limit of open connections, including those being dialled
 	Fields      []string      // fields of load reports, in the order of the settings
 
-	// OnProtocolResult, where set, is called with the result each time that a connection or a
-	// stream was needed. It must not call back.
+	// OnProtocolResult, if set, is called with the result each time that a connection or a stream
+	// was needed. It must not call back into the Upstream.
 	OnProtocolResult func(t *engine.Target, result protocol.Result)
 }
 
-// Upstream sends requests to endpoints. Make one with New. It is safe for concurrent use.
+// Upstream sends requests to endpoints. Create one with New. It is safe for concurrent use.
 type Upstream struct {
 	options   Options
 	transport *quic.Transport
@@ -53,12 +54,12 @@
 	running   sync.WaitGroup // goroutines that Close waits for
 
 	mu     sync.Mutex
-	closed bool                     // Close was called: running must not grow any more
-	conns  map[*engine.Target]*conn // those that take new requests
-	open   int                      // connections, the draining ones and those being dialled included
+	closed bool                     // Close was called: running must no longer grow
+	conns  map[*engine.Target]*conn // connections that accept new requests
+	open   int                      // number of connections, including draining ones and those being dialled
 }
 
-// New returns an upstream with a socket of its own and no connection.
+// New returns an upstream with a socket of its own and no connections.
 func New(o Options) (*Upstream, error) {
 	socket, err := net.ListenUDP("udp", nil)
 	if err != nil {
@@ -75,7 +76,7 @@
 }
 
 // Close closes all connections and the socket. It waits for handshakes, load probes and background
-// work, which end with the connections. It does not wait for the resolution of a name.
+// work, which end with the connections, but not for the resolution of a name.
 func (u *Upstream) Close() error {
 	u.mu.Lock()
 	u.closed = true
@@ -86,8 +87,8 @@
 	return errors.Join(err, u.transport.Conn.Close())
 }
 
-// trackGoroutine counts the calling goroutine, or one that the caller starts, among those that Close waits
-// for, until u.running.Done. It returns false once Close was called.
+// trackGoroutine makes Close wait for the calling goroutine, or for one that the caller starts,
+// until u.running.Done is called. It returns false if Close was called.
 func (u *Upstream) trackGoroutine() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -119,8 +120,8 @@
 	}()
 }
 
-// Preconnect opens the connection to a target in the background. It is background work to the
-// handshake rate limit, since no request waits for it.
+// Preconnect opens the connection to a target in the background. The handshake rate limit treats it
+// as background work, since no request waits for it.
 func (u *Upstream) Preconnect(t *engine.Target) {
 	if !u.trackGoroutine() {
 		return
@@ -147,7 +148,7 @@
 	}
 }
 
-// reportResult reports the result of an attempt to use the protocol.
+// reportResult reports the result of an attempt to use HTTP/3.
 func (u *Upstream) reportResult(t *engine.Target, result protocol.Result) {
 	if u.options.OnProtocolResult != nil {
 		u.options.OnProtocolResult(t, result)
@@ -170,7 +171,7 @@
 	var unsent *attempt.UnsentError
 	if errors.As(err, &unsent) {
 		if ctx.Err() == nil {
-			u.abandon(c) // no stream, or GOAWAY: the next request dials anew
+			u.abandon(c) // no stream available, or GOAWAY: the next request dials again
 		}
 		return engine.Result{Status: attempt.UnsentStatus(ctx, unsent.Cause)}
 	}
