--- a/internal/upstream/byprotocol/byprotocol_test.go
+++ b/internal/upstream/byprotocol/byprotocol_test.go
@@ -64,7 +64,7 @@
 	return stop
 }
 
-// newTestUpstream returns an upstream over both protocols, which the end of the test closes.
+// newTestUpstream returns an upstream over both protocols that is closed at the end of the test.
 func newTestUpstream(t *testing.T, pair *cert.Pair, http3DialTimeout time.Duration) *Upstream {
 	t.Helper()
 	u, err := New(
@@ -106,7 +106,7 @@
 	return e
 }
 
-// send sends a request through the engine and returns the response's code.
+// send sends a request through the engine and returns the response's status code.
 func send(e *engine.Engine, u *Upstream) int {
 	responses := make(chan engine.Response, 1)
 	message := &engine.Message{
@@ -125,8 +125,8 @@
 }
 
 // An endpoint that supports both protocols gets requests over HTTP/1.1 at first, over HTTP/3 once a
-// connection is established, and over HTTP/1.1 again when that is lost. Every request gets a
-// response, and no change of protocol sends one twice.
+// connection is established, and over HTTP/1.1 again when that connection is lost. Every request gets
+// a response, and no change of protocol sends a request twice.
 func TestProtocolFollowsReachabilityOfHTTP3(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	pair := cert.New(t)
@@ -138,7 +138,7 @@
 	datagrams, err := net.ListenPacket("udp", listener.Addr().String())
 	if err != nil {
 		listener.Close()
-		t.Skipf("the port is taken on UDP: %v", err)
+		t.Skipf("the TCP port is in use on UDP: %v", err)
 	}
 	serveHTTP1(t, listener, countRequests(&http1Requests))
 	stopHTTP3 := serveHTTP3(t, pair, datagrams, countRequests(&http3Requests))
@@ -150,25 +150,27 @@
 		return send(e, u)
 	}
 	if code := send(); code != http.StatusOK || http1Requests.Load() != 1 {
-		t.Errorf("first request: %d, %d over HTTP/1.1", code, http1Requests.Load())
+		t.Errorf("first request: status code %d, %d requests over HTTP/1.1, want 1", code, http1Requests.Load())
 	}
-	wait.Until(t, "HTTP/3", func() bool { return send() == http.StatusOK && http3Requests.Load() > 0 })
+	wait.Until(t, "a request over HTTP/3", func() bool { return send() == http.StatusOK && http3Requests.Load() > 0 })
 	if code, before := send(), http1Requests.Load(); code != http.StatusOK || http1Requests.Load() != before {
-		t.Errorf("once HTTP/3 is established: %d", code)
+		t.Errorf("once HTTP/3 is established: status code %d, %d requests over HTTP/1.1, want %d",
+			code, http1Requests.Load(), before)
 	}
 	if http1Requests.Load()+http3Requests.Load() != sent {
-		t.Errorf("%d and %d requests seen of %d", http1Requests.Load(), http3Requests.Load(), sent)
+		t.Errorf("%d requests over HTTP/1.1 and %d over HTTP/3, want %d in total",
+			http1Requests.Load(), http3Requests.Load(), sent)
 	}
 	stopHTTP3()
-	// The connection ends, and no other can be dialled: a request of now was never sent over
-	// HTTP/3, and HTTP/1.1 serves what follows.
+	// The connection has ended and no other can be established: a request is not sent over HTTP/3
+	// from now on, and later ones use HTTP/1.1.
 	before := http1Requests.Load()
-	wait.Until(t, "HTTP/1.1 again", func() bool {
+	wait.Until(t, "a request over HTTP/1.1 again", func() bool {
 		send()
 		return http1Requests.Load() > before
 	})
 	if code := send(); code != http.StatusOK {
-		t.Errorf("after HTTP/3 was lost: %d", code)
+		t.Errorf("after HTTP/3 was lost: status code %d", code)
 	}
 }
 
@@ -195,7 +197,7 @@
 			relay.SetBlocked(direction, true)
 			listener, err := net.Listen("tcp", relay.Address)
 			if err != nil {
-				t.Skipf("the port is taken on TCP: %v", err)
+				t.Skipf("the UDP port is in use on TCP: %v", err)
 			}
 			serveHTTP1(t, listener, countRequests(&http1Requests))
 			u := newTestUpstream(t, pair, 100*time.Millisecond)
@@ -205,7 +207,7 @@
 				u.Probe(context.Background(), target, func(r engine.Result) { results <- r })
 				return <-results
 			}
-			// attempted reports whether HTTP/3 was attempted: then no other attempt is due.
+			// attempted reports whether HTTP/3 was attempted: after that no other attempt is due yet.
 			attempted := func() bool {
 				u.mu.Lock()
 				defer u.mu.Unlock()
@@ -214,11 +216,11 @@
 			}
 			for n := range 20 {
 				if r := probe(); r.Status != balancer.OK {
-					t.Fatalf("request %d: %v", n, r.Status)
+					t.Fatalf("probe %d: status %v, want OK", n, r.Status)
 				}
 			}
 			if !attempted() || http1Requests.Load() != 20 || http3Requests.Load() != 0 {
-				t.Errorf("%d over HTTP/1.1, %d over HTTP/3, attempted %t",
+				t.Errorf("%d over HTTP/1.1, %d over HTTP/3, attempted %t; want 20, 0, true",
 					http1Requests.Load(), http3Requests.Load(), attempted())
 			}
 		})
--- a/internal/upstream/handshake/handshake_test.go
+++ b/internal/upstream/handshake/handshake_test.go
@@ -11,9 +11,10 @@
 	_ "pinedale/internal/standin/seeds"
 )
 
+// start is the instant at which the tests begin.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newBudget returns a budget of a valid configuration.
+// newBudget returns a budget with a valid configuration.
 func newBudget(t interface{ Fatal(...any) }, c Config) *Budget {
 	b, err := New(c)
 	if err != nil {
@@ -24,7 +25,7 @@
 
 var testConfig = Config{PerServer: 10, All: 40, InitialWarmupRatio: 0.2, WarmWithin: 10 * time.Second, Burst: 5}
 
-// Each row of the table in the package comment.
+// Tests each row of the table in the package comment.
 func TestTurnsByKindAndMaxWait(t *testing.T) {
 	turn := func(b *Budget, k Kind, maxWait time.Duration) (wait time.Duration, ok bool) {
 		begin, ok := b.RequestTurn(start, "a", time.Time{}, k, maxWait)
@@ -36,39 +37,39 @@
 	b := newBudget(t, testConfig)
 	for i := range 5 {
 		if wait, ok := turn(b, Request, time.Second); !ok || wait != 0 {
-			t.Fatalf("request %d of the burst: %v, %v", i, wait, ok)
+			t.Fatalf("request %d of the burst: wait %v, granted %v", i, wait, ok)
 		}
 	}
 	if wait, ok := turn(b, Request, time.Second); !ok || math.Abs(wait.Seconds()-0.1) > 1e-6 {
-		t.Errorf("the next: after %v, %v; want 100 ms, one turn at 10 a second", wait, ok)
+		t.Errorf("first request beyond the burst: wait %v, granted %v; want 100 ms at 10 a second", wait, ok)
 	}
 	if _, ok := turn(b, Request, 150*time.Millisecond); ok {
-		t.Error("a turn in 200 ms was granted to a patience of 150")
+		t.Error("a turn in 200 ms was granted for a maximum wait of 150 ms")
 	}
 	if wait, ok := turn(b, Request, 210*time.Millisecond); !ok || math.Abs(wait.Seconds()-0.2) > 1e-6 {
-		t.Errorf("a rejected request must use up no turn: %v, %v", wait, ok)
+		t.Errorf("wait %v, granted %v; want 200 ms, since a rejected request uses up no turn", wait, ok)
 	}
 
 	b = newBudget(t, testConfig)
 	for i := range 3 {
 		if _, ok := turn(b, Background, time.Hour); !ok {
-			t.Fatalf("background %d has more than half a burst ahead of it", i)
+			t.Fatalf("background handshake %d was rejected with more than half a burst left", i)
 		}
 	}
 	if _, ok := turn(b, Background, time.Hour); ok {
-		t.Error("background work has used up turns that requests may need")
+		t.Error("background work has used up turns that are reserved for requests")
 	}
 	for range 2 {
 		if wait, ok := turn(b, Request, 0); !ok || wait != 0 {
-			t.Error("a request finds no turn that background work has left")
+			t.Errorf("request: wait %v, granted %v; want a turn now, reserved from background work", wait, ok)
 		}
 	}
 	if got := b.Counts(); got != (Counts{Immediate: 5, Deferred: 1}) {
-		t.Errorf("counted %+v", got)
+		t.Errorf("counts %+v, want 5 immediate and 1 deferred", got)
 	}
 }
 
-// A server that has just started has part of its rate, and all of it once it has warmed up.
+// A server that has just started gets part of its rate, and all of it once it has warmed up.
 func TestRateRisesWhileServerWarmsUp(t *testing.T) {
 	rate := func(age time.Duration, startedAt time.Time) float64 {
 		b := newBudget(t, testConfig)
@@ -77,11 +78,11 @@
 		for range 25 {
 			begin, ok := b.RequestTurn(at, "a", startedAt, Request, time.Hour)
 			if !ok {
-				t.Fatal("rejected")
+				t.Fatal("request was rejected within a maximum wait of an hour")
 			}
 			turns = append(turns, begin)
 		}
-		return 10 / turns[24].Sub(turns[14]).Seconds() // well beyond the burst
+		return 10 / turns[24].Sub(turns[14]).Seconds() // turns 14 to 24 are well beyond the burst
 	}
 	for age, want := range map[time.Duration]float64{
 		-time.Hour:       2,
@@ -91,15 +92,15 @@
 		time.Hour:        10,
 	} {
 		if got := rate(age, start); math.Abs(got-want) > 1e-3 {
-			t.Errorf("%v after its start a server gets %v a second, want %v", age, got, want)
+			t.Errorf("%v after its start a server gets %v turns a second, want %v", age, got, want)
 		}
 	}
 	if got := rate(0, time.Time{}); math.Abs(got-10) > 1e-6 {
-		t.Errorf("one that started long ago gets %v a second", got)
+		t.Errorf("a server that is past its slow start gets %v turns a second, want 10", got)
 	}
 }
 
-// The total has a limit of its own, however many servers there are, and idle servers are forgotten.
+// The total rate is limited, however many servers there are, and idle servers are removed.
 func TestTotalRateHoldsForManyServers(t *testing.T) {
 	b := newBudget(t, testConfig)
 	turns := 0
@@ -109,19 +110,19 @@
 			turns++
 		}
 	}
-	if turns != 80 { // the burst of one second's rate, and that second's
+	if turns != 80 { // the burst of one second's rate, plus one second's rate
 		t.Errorf("%d turns within a second, want 80", turns)
 	}
 	for n := range 10_000 {
 		b.RequestTurn(start.Add(time.Duration(n)*time.Second), fmt.Sprint("t", n), time.Time{}, Request, 0)
 	}
 	if len(b.servers) > 2*minSweepServers {
-		t.Errorf("%d servers are remembered, nearly all of them idle", len(b.servers))
+		t.Errorf("%d servers are stored, nearly all of them idle, want at most %d", len(b.servers), 2*minSweepServers)
 	}
 }
 
-// In no span does a server, or do all together, get more turns than burst and rate allow; no request waits beyond
-// its patience, and background work never waits.
+// In no time span do one server, or all servers together, get more turns than burst and rate allow; no request
+// waits longer than its maximum wait, and background work never waits.
 func TestTurnsStayWithinBurstAndRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Config{
@@ -148,7 +149,7 @@
 				continue
 			}
 			if wait := begin.Sub(now); wait < 0 || wait > maxWait || kind == Background && wait > 0 {
-				t.Fatalf("kind %d waits %v of %v", kind, wait, maxWait)
+				t.Fatalf("kind %d waits %v, allowed %v", kind, wait, maxWait)
 			}
 			for _, name := range []string{server, "all"} {
 				turns[name] = append(turns[name], begin.Sub(start).Seconds())
@@ -171,7 +172,7 @@
 						}
 					}
 					if limit := burst + rate*(at[j]-at[i]) + 1e-6; float64(n) > limit {
-						t.Fatalf("%s: %d turns in %v s, at most %v", name, n, at[j]-at[i], limit)
+						t.Fatalf("%s: %d turns in %v s, want at most %v", name, n, at[j]-at[i], limit)
 					}
 				}
 			}
@@ -190,7 +191,7 @@
 		c := testConfig
 		invalidate(&c)
 		if _, err := New(c); err == nil || err.Error()[:len("handshake: "+key)] != "handshake: "+key {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("invalid %s: error %v does not name the field", key, err)
 		}
 	}
 }
--- a/internal/upstream/protocol/protocol_test.go
+++ b/internal/upstream/protocol/protocol_test.go
@@ -11,7 +11,7 @@
 
 var epoch = time.Unix(1_000_000_000, 0)
 
-// at returns an instant of the test.
+// at returns the instant that is some seconds after epoch.
 func at(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
 func TestChoiceFollowsResults(t *testing.T) {
@@ -30,19 +30,19 @@
 	tracker.Record(at(2), "x", Failed)
 	expect(2, false, false)
 	expect(6, false, false)
-	expect(7, false, true) // 5 s after
+	expect(7, false, true) // 5 s after the failure
 	tracker.Record(at(7), "x", Failed)
 	expect(16, false, false)
-	expect(17, false, true) // 10 s after
+	expect(17, false, true) // 10 s after the failure
 	tracker.Record(at(17), "x", Established)
 	tracker.Record(at(18), "x", Failed)
-	expect(23, false, true) // the initial backoff again
+	expect(23, false, true) // the initial backoff applies again
 	tracker.Remove("x")
 	tracker.Record(at(24), "x", Established)
-	expect(24, false, true)
+	expect(24, false, true) // a result for a removed address is ignored
 }
 
-// There is one attempt at a time, HTTP/3 is used only after a success, and the backoff is bounded.
+// There is at most one attempt at a time, HTTP/3 is used only after a success, and the backoff is bounded.
 func TestOneAttemptAtATimeWithBoundedBackoff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker, now := New(), epoch
@@ -52,10 +52,11 @@
 			if rapid.Bool().Draw(t, "use") {
 				http3, attempt := tracker.Choose(now, "x")
 				if http3 != supported || attempt && (attempting || supported) {
-					t.Fatalf("HTTP/3 %v, attempt %v; supported %v, attempting %v", http3, attempt, supported, attempting)
+					t.Fatalf("HTTP/3 %v, attempt %v; want supported %v, attempting %v",
+						http3, attempt, supported, attempting)
 				}
 				if !attempt && !attempting && !supported && now.Sub(failed) >= maxBackoff {
-					t.Fatal("not attempted after the longest backoff")
+					t.Fatal("HTTP/3 is not attempted after the longest backoff")
 				}
 				attempting = attempting || attempt
 			} else if attempting || supported {
@@ -74,8 +75,8 @@
 	})
 }
 
-// A deferred attempt says nothing about the address: it is made a second later, and the backoff
-// after a failure is unchanged.
+// A deferred attempt says nothing about the address: it is repeated a second later, and does not
+// change the backoff after a failure.
 func TestDeferredAttemptDoesNotRaiseBackoff(t *testing.T) {
 	tracker := New()
 	at := func(seconds float64) time.Time { return epoch.Add(time.Duration(seconds * float64(time.Second))) }
