--- a/internal/upstream/httpupstream/outcome_test.go
+++ b/internal/upstream/httpupstream/outcome_test.go
@@ -21,7 +21,7 @@
 	"pinedale/internal/standin/wait"
 )
 
-// A new connection's response decides the outcome of its request.
+// The response decides the outcome of a request on a new connection.
 func TestOutcomeOnNewConnectionFollowsResponse(t *testing.T) {
 	respondAndClose := func(response string) func(*scriptedconn.Endpoint, net.Conn, *bufio.Reader) {
 		return func(e *scriptedconn.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -40,7 +40,7 @@
 		{"served in chunks",
 			scriptedconn.Always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.OK},
 		{"served twice at once", scriptedconn.Always(scriptedconn.Served + scriptedconn.Served), balancer.OK},
-		{"complete only by the connection's end", respondAndClose("HTTP/1.1 200 OK\r\n\r\ndone"), balancer.Reset},
+		{"complete only at the connection's end", respondAndClose("HTTP/1.1 200 OK\r\n\r\ndone"), balancer.Reset},
 		{"length stated in two ways",
 			scriptedconn.Always("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" +
 				"4\r\ndone\r\n0\r\n\r\n"), balancer.Reset},
@@ -52,9 +52,9 @@
 			scriptedconn.Always("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" +
 				"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" +
 				"4\r\ndone\r\n0\r\n\r\n"), balancer.Reset},
-		{"interim responses without end",
+		{"endless interim responses",
 			scriptedconn.Always(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1000)), balancer.Reset},
-		{"a length without end",
+		{"a length beyond the limit",
 			scriptedconn.Always("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ndone"), balancer.Reset},
 		{"stalled in its body", scriptedconn.Always("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\ndone"), balancer.Reset},
 		{"stalled in its head", scriptedconn.Always("HTTP/1.1 200 OK\r\nContent-"), balancer.Reset},
@@ -86,7 +86,7 @@
 		{"body too large",
 			scriptedconn.Always("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" +
 				strings.Repeat("x", 65537)), balancer.Reset},
-		{"head without end", scriptedconn.Always("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10)), balancer.Reset},
+		{"endless head", scriptedconn.Always("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10)), balancer.Reset},
 		{"unresponsive", scriptedconn.Unresponsive, balancer.Timeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 				t.Errorf("status %v, want %v", r.Status, c.want)
 			}
 			if r.Status == balancer.OK && string(r.Body) != "done" {
-				t.Errorf("body %q", r.Body)
+				t.Errorf("body %q, want %q", r.Body, "done")
 			}
 		})
 	}
@@ -111,7 +111,7 @@
 
 func TestFailedDialProvesNotRun(t *testing.T) {
 	u := newTestUpstream(1)
-	for range 2 { // a failed dial releases its slot
+	for range 2 { // the second attempt checks that a failed dial frees its slot
 		r := u.attempt(context.Background(), &engine.Target{Address: closedAddress(t)}, get("/"))
 		if r.Status != balancer.ConnectFailed {
 			t.Errorf("status %v, want ConnectFailed", r.Status)
@@ -119,7 +119,7 @@
 	}
 }
 
-// A machine that vanished does not answer: the connection is never established.
+// An unreachable machine does not answer: the connection is never established.
 func TestDialTimeoutProvesNotRun(t *testing.T) {
 	u := newTestUpstream(1)
 	u.dialer.Timeout = 20 * time.Millisecond
@@ -133,8 +133,8 @@
 	}
 }
 
-// A connection that breaks before the last byte is written proves that the
-// request never ran. Small buffers on both sides leave part of it unwritten.
+// A connection that breaks before the last byte is written proves that the request never ran. Small
+// buffers on both sides leave part of the request unwritten.
 func TestBreakBeforeLastByteProvesNotRun(t *testing.T) {
 	setSmallBuffer := func(option int) func(string, string, syscall.RawConn) error {
 		return func(_, _ string, raw syscall.RawConn) error {
@@ -170,7 +170,7 @@
 	}
 }
 
-// The endpoint receives the client's request with the attempt's remaining time.
+// The endpoint receives the client's request, with the attempt's remaining time in its header.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	e := scriptedconn.New(t, scriptedconn.Always(scriptedconn.Served))
 	requestURL, err := url.Parse("/pay/x%2Fy?q=1&r=%20")
@@ -194,7 +194,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), wait.Timeout)
 	defer cancel()
 	if r := newTestUpstream(1).attempt(ctx, &engine.Target{Address: e.Address}, message); r.Status != balancer.OK {
-		t.Fatalf("status %v", r.Status)
+		t.Fatalf("status %v, want OK", r.Status)
 	}
 	got := e.Request(0)
 	body, _ := io.ReadAll(got.Body)
@@ -211,12 +211,12 @@
 		t.Error(err)
 	}
 	if remaining <= 0 || remaining > wait.Timeout.Milliseconds() {
-		t.Errorf("X-Time-Left-Ms %q", got.Header.Get("X-Time-Left-Ms"))
+		t.Errorf("X-Time-Left-Ms is %q, want 1 to %d", got.Header.Get("X-Time-Left-Ms"), wait.Timeout.Milliseconds())
 	}
 }
 
-// A cancelled request's connection is reset: the kernel then drops bytes that it has not
-// delivered, where an orderly close would deliver them once a network partition has healed.
+// A cancelled request's connection is reset: the kernel then drops undelivered bytes. After an
+// orderly close it would deliver them once a network partition has healed.
 func TestCancelledAttemptResetsItsConnection(t *testing.T) {
 	ended := make(chan error, 1)
 	e := scriptedconn.New(t, func(e *scriptedconn.Endpoint, conn net.Conn, in *bufio.Reader) {
--- a/internal/upstream/httpupstream/response_test.go
+++ b/internal/upstream/httpupstream/response_test.go
@@ -26,15 +26,15 @@
 	for _, c := range []struct {
 		name, response string
 		status         balancer.Status
-		load           []float32 // -1: not a number
+		load           []float32 // -1 for NaN
 	}{
-		{"both figures, in any order", report("pending=7,failed_ps=0.5\n"), balancer.OK, []float32{0.5, 7}},
-		{"one figure and others", report("util=0.3,pending=2"), balancer.OK, []float32{-1, 2}},
-		{"a malformed figure", report("pending=many,failed_ps=1,,=,x"), balancer.OK, []float32{1, -1}},
-		{"a repeated figure", report("pending=1,failed_ps=2,pending=3"), balancer.OK, []float32{2, -1}},
-		{"figures beyond sense", report("pending=1e30,failed_ps=-1"), balancer.OK, []float32{-1, -1}},
-		{"figures that are none", report("pending=NaN,failed_ps=+Inf"), balancer.OK, []float32{-1, -1}},
-		{"no report yet", report(""), balancer.OK, nil},
+		{"both fields, in any order", report("pending=7,failed_ps=0.5\n"), balancer.OK, []float32{0.5, 7}},
+		{"one field and unknown ones", report("util=0.3,pending=2"), balancer.OK, []float32{-1, 2}},
+		{"a malformed value", report("pending=many,failed_ps=1,,=,x"), balancer.OK, []float32{1, -1}},
+		{"a repeated field", report("pending=1,failed_ps=2,pending=3"), balancer.OK, []float32{2, -1}},
+		{"values out of range", report("pending=1e30,failed_ps=-1"), balancer.OK, []float32{-1, -1}},
+		{"values that are not finite", report("pending=NaN,failed_ps=+Inf"), balancer.OK, []float32{-1, -1}},
+		{"an empty report", report(""), balancer.OK, nil},
 		{"rejected", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", balancer.Error, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -50,15 +50,15 @@
 				t.Errorf("status %v, load %v; want %v, %v", r.Status, r.Load, c.status, c.load)
 			}
 			if path := e.Request(0).RequestURI; path != "/stats" {
-				t.Errorf("requested %s", path)
+				t.Errorf("requested %s, want /stats", path)
 			}
 		})
 	}
 }
 
-// A connection that delivered more than one response's bytes is not reused, whether the excess
-// arrives with the response or after the connection was released: the next request would be
-// answered with another's response.
+// A connection that delivered bytes beyond one response is not reused, whether they arrive with the
+// response or after the connection was released: the next request would otherwise get another
+// request's response.
 func TestExcessBytesAreNotTakenForTheNextResponse(t *testing.T) {
 	for name, late := range map[string]bool{"at once": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
@@ -79,15 +79,15 @@
 			u, target := newTestUpstream(4), &engine.Target{Address: e.Address}
 			r := u.attempt(context.Background(), target, get("/one."))
 			if r.Status != balancer.OK || string(r.Body) != "one." {
-				t.Fatalf("first: status %v, body %q", r.Status, r.Body)
+				t.Fatalf("first request: status %v, body %q; want OK, %q", r.Status, r.Body, "one.")
 			}
 			close(excess)
 			if late {
-				wait.Until(t, "the excess to arrive", func() bool { return !u.idleConns[target][0].isAlive() })
+				wait.Until(t, "the excess bytes to arrive", func() bool { return !u.idleConns[target][0].isAlive() })
 			}
 			r = u.attempt(context.Background(), target, get("/two."))
 			if r.Status != balancer.OK || string(r.Body) != "two." {
-				t.Errorf("second: status %v, body %q", r.Status, r.Body)
+				t.Errorf("second request: status %v, body %q; want OK, %q", r.Status, r.Body, "two.")
 			}
 			if conns := e.ConnCount(); conns != 2 {
 				t.Errorf("%d connections, want 2", conns)
@@ -96,8 +96,8 @@
 	}
 }
 
-// Only a response that has begun must end soon: one may begin late, also after an interim
-// response.
+// The response timeout starts with a response's first byte: a response may begin late, also after an
+// interim one.
 func TestSlowResponsesAreAwaited(t *testing.T) {
 	for name, first := range map[string]string{
 		"plain":                     "",
@@ -122,13 +122,13 @@
 	}
 }
 
-// A cancelled attempt ends, whatever deadlines the parts of its response set afterwards: an
-// interim response clears the deadline, a first byte sets a later one.
+// A cancelled attempt ends, even if its response sets deadlines afterwards: an interim response
+// clears the deadline, a first byte sets a later one.
 func TestInterruptEndsReadingDuringAResponse(t *testing.T) {
 	const interim = "HTTP/1.1 102 Processing\r\n\r\n"
 	e := scriptedconn.New(t, func(e *scriptedconn.Endpoint, conn net.Conn, in *bufio.Reader) {
 		_, _ = io.WriteString(conn, interim)
-		_, _ = in.ReadByte() // until the other side closes
+		_, _ = in.ReadByte() // blocks until the other side closes
 	})
 	for name, read := range map[string]func(*conn) error{
 		"between interim responses": func(c *conn) error {
@@ -150,16 +150,16 @@
 		if _, err := c.reader.Peek(len(interim)); err != nil {
 			t.Fatal(err)
 		}
-		c.interrupt() // as the end of the attempt's context does, after these bytes have arrived
+		c.interrupt() // as when the attempt's context ends after these bytes have arrived
 		ended := make(chan error, 1)
 		go func() { ended <- read(c) }()
 		select {
 		case err := <-ended:
 			if err == nil {
-				t.Errorf("%s: a response where none was sent", name)
+				t.Errorf("%s: got a response, but none was sent", name)
 			}
 		case <-time.After(wait.Timeout):
-			t.Errorf("%s: the attempt does not end", name)
+			t.Errorf("%s: the attempt has not ended after %v", name, wait.Timeout)
 		}
 	}
 }
--- a/internal/upstream/httpupstream/upstream_test.go
+++ b/internal/upstream/httpupstream/upstream_test.go
@@ -10,7 +10,7 @@
 	"pinedale/internal/engine"
 )
 
-// newTestUpstream returns an upstream that opens at most so many connections.
+// newTestUpstream returns an upstream that opens at most maxOpen connections.
 func newTestUpstream(maxOpen int) *Upstream {
 	return New(Options{
 		DialTimeout: 2 * time.Second,
