--- a/internal/upstream/secure/conn_test.go
+++ b/internal/upstream/secure/conn_test.go
@@ -10,8 +10,8 @@
 	"pinedale/internal/upstream/attempt"
 )
 
-// Open connections become unusable at once where their root is removed or their server goes by
-// another name, and spread over the configured time where a change leaves them trusted.
+// Open connections become unusable at once if their root is removed or their server's name changes.
+// If a change leaves them trusted, they become unusable spread over the configured time.
 func TestOpenConnectionsFollowChangesOfTrust(t *testing.T) {
 	f := newFixture(t)
 	second := ca.New(t, "second")
@@ -28,7 +28,7 @@
 	if !old.Usable(f.now()) || !old.HasNoUnreadData() {
 		t.Fatal("a new connection is not usable")
 	}
-	f.files.WriteFile(f.files.Roots, f.root.PEM(), second.PEM()) // both are trusted for a while
+	f.files.WriteFile(f.files.Roots, f.root.PEM(), second.PEM()) // both are trusted during the replacement
 	f.keys.Reload()
 	var sessions []attempt.Session
 	for range 20 {
@@ -36,29 +36,29 @@
 	}
 	other := connect(bySecond)
 	if !old.Usable(f.now()) && !old.Usable(f.now().Add(-time.Minute)) {
-		t.Error("an older connection is unusable at once")
+		t.Error("an older connection that is still trusted became unusable at once")
 	}
 	if old.Usable(f.now().Add(time.Minute)) {
-		t.Error("an older connection is usable after the configured time")
+		t.Error("an older connection is still usable after the configured time")
 	}
-	f.files.WriteFile(f.files.Roots, second.PEM()) // the first is removed
+	f.files.WriteFile(f.files.Roots, second.PEM()) // the first root is removed
 	f.keys.Reload()
 	for n, c := range sessions {
 		if c.Usable(f.now()) {
-			t.Errorf("connection %d is usable, though its root is not trusted", n)
+			t.Errorf("connection %d is usable, though its root is no longer trusted", n)
 		}
 	}
 	if other.Usable(f.now().Add(time.Minute)) {
-		t.Error("a connection that is still trusted is usable after the configured time")
+		t.Error("a connection that is still trusted remains usable after the configured time")
 	}
 	last := connect(bySecond)
 	f.client.SetNames(&Names{Pattern: "{name}.example.com"})
 	if last.Usable(f.now()) {
-		t.Error("a connection is usable, though its server goes by another name")
+		t.Error("a connection is usable, though its server's name has changed")
 	}
 }
 
-// Unsolicited data on an idle connection is seen before the next request, here in the TLS layer.
+// Unsolicited data on an idle connection is detected before the next request, here in the TLS layer.
 func TestUnreadResponseIsSeenInTLSLayer(t *testing.T) {
 	f := newFixture(t)
 	s := tlsbackend.Start(t, issue(f.root, ca.Spec{}))
@@ -75,6 +75,6 @@
 		t.Fatal(err)
 	}
 	if c.HasNoUnreadData() {
-		t.Error("part of a response is unread, and not seen")
+		t.Error("unread data in the TLS layer was not detected")
 	}
 }
--- a/internal/upstream/secure/handshake_test.go
+++ b/internal/upstream/secure/handshake_test.go
@@ -22,7 +22,7 @@
 )
 
 // Over both protocols, a server that cannot be verified gets no request, and the log states the
-// expected name, the presented one, and the reason.
+// expected name, the presented one, and the reason of the failure.
 func TestUnverifiedServerGetsNoRequest(t *testing.T) {
 	root, other := ca.New(t, "root"), ca.New(t, "other")
 	intermediate := root.NewIntermediate("between")
@@ -39,16 +39,16 @@
 	forClients := ca.Spec{ExtKeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
 	for name, c := range map[string]struct {
 		pair   *ca.Pair
-		reason string // "" where it is trusted
-		log    string // part of the log event
+		reason string // of the failure; "" if the server is trusted
+		log    string // text that the log event contains
 	}{
 		"valid":                    {issue(root, ca.Spec{}), "", ""},
 		"with its intermediate":    {issue(intermediate, ca.Spec{}), "", ""},
 		"without its intermediate": {issue(intermediate, ca.Spec{OmitIntermediate: true}), "chain", "between"},
 		"for another name":         {named("soko-4.example.org"), "names", "presented=soko-4.example.org"},
-		"for a name below":         {named("x." + serverName), "names", "expected=" + serverName},
+		"for a subdomain":          {named("x." + serverName), "names", "expected=" + serverName},
 		"for a wildcard":           {named("*.example.org"), "", ""},
-		"of another root":          {issue(other, ca.Spec{}), "chain", "CN=other"},
+		"by another root":          {issue(other, ca.Spec{}), "chain", "CN=other"},
 		"expired":                  {issue(root, expired), "over", "valid until"},
 		"not valid yet":            {issue(root, early), "early", "valid from"},
 		"revoked":                  {revoked, "revoked", "is revoked"},
@@ -67,15 +67,15 @@
 			_, quicErr := f.handshakeQUIC(target(s))
 			if c.reason == "" {
 				if tcpErr != nil || quicErr != nil {
-					t.Errorf("HTTP/1.1: %v; HTTP/3: %v", tcpErr, quicErr)
+					t.Errorf("trusted server was rejected: HTTP/1.1: %v; HTTP/3: %v", tcpErr, quicErr)
 				}
 				return
 			}
 			if fault := (*validate.Fault)(nil); !errors.As(tcpErr, &fault) || quicErr == nil {
-				t.Errorf("HTTP/1.1: %v; HTTP/3: %v", tcpErr, quicErr)
+				t.Errorf("untrusted server, want a validate.Fault: HTTP/1.1: %v; HTTP/3: %v", tcpErr, quicErr)
 			}
 			if got := f.client.Counters(); got.Failed[c.reason] != 2 || got.Full+got.Resumed != 0 {
-				t.Errorf("counted %+v", got)
+				t.Errorf("counters %+v, want 2 failures of reason %q only", got, c.reason)
 			}
 			logText := f.log.String()
 			if strings.Count(logText, "tls handshake failed") != 1 || !strings.Contains(logText, c.log) ||
@@ -90,8 +90,8 @@
 	}
 }
 
-// A server that does not complete the handshake fails within the timeout, by a reason of its own,
-// and never gets plain text.
+// A handshake that the server does not complete fails within the timeout and is counted under its
+// own reason. The server never gets plain text.
 func TestFailedHandshakeCountsItsReason(t *testing.T) {
 	for reason, behaviour := range map[string]tlsbackend.HandshakeFault{
 		"silent":  tlsbackend.Unresponsive,
@@ -102,7 +102,7 @@
 			f := newFixture(t, func(o *Options, _ *certstore.Options) { o.Timeout = 200 * time.Millisecond })
 			endpoint := &engine.Target{Name: "soko-3", Address: tlsbackend.ListenFaulty(t, behaviour)}
 			if _, err := f.handshakeTCP(endpoint); err == nil || f.client.Counters().Failed[reason] != 1 {
-				t.Errorf("%v, counted %v", err, f.client.Counters().Failed)
+				t.Errorf("error %v, failures %v, want 1 of reason %q", err, f.client.Counters().Failed, reason)
 			}
 		})
 	}
@@ -110,7 +110,7 @@
 		f := newFixture(t)
 		endpoint := &engine.Target{Name: "soko-3", Address: tlsbackend.ListenFaulty(t, tlsbackend.Garbage)}
 		if _, err := f.handshakeTCP(endpoint); err == nil {
-			t.Error("noise is taken for a server")
+			t.Error("a server that sends garbage is accepted")
 		}
 	})
 	t.Run("an older version", func(t *testing.T) {
@@ -124,7 +124,7 @@
 		k.MinTLSVersion = tls.VersionTLS12
 		f.reopen(f.client.options, k)
 		if _, err := f.handshakeTCP(target(s)); err != nil {
-			t.Errorf("TLS 1.2 where the configuration allows it: %v", err)
+			t.Errorf("TLS 1.2 is rejected where the configuration allows it: %v", err)
 		}
 	})
 	t.Run("cancelled", func(t *testing.T) {
@@ -138,7 +138,7 @@
 		endpoint := &engine.Target{Name: "soko-3", Address: raw.RemoteAddr().String()}
 		_, err = f.client.Secure(ctx, endpoint, raw)
 		if err == nil || f.client.Counters().Failed["called off"] != 1 {
-			t.Errorf("%v, counted %v", err, f.client.Counters().Failed)
+			t.Errorf("error %v, failures %v, want 1 of reason %q", err, f.client.Counters().Failed, "called off")
 		}
 	})
 }
@@ -149,15 +149,16 @@
 	s := tlsbackend.Start(t, issue(ca.New(t, "other"), ca.Spec{}))
 	for range 5 {
 		if _, err := f.handshakeTCP(target(s)); err == nil {
-			t.Error("a server of an unknown authority is trusted")
+			t.Error("a server with a certificate of an unknown authority is trusted")
 		}
 	}
 	f.clockOffset.Store(int64(logInterval))
 	if _, err := f.handshakeTCP(target(s)); err == nil {
-		t.Error("a server of an unknown authority is trusted")
+		t.Error("a server with a certificate of an unknown authority is trusted")
 	}
 	if n := f.log.Count("tls handshake failed"); n != 2 || f.client.Counters().Failed["chain"] != 6 {
-		t.Errorf("%d log events, counted %v", n, f.client.Counters().Failed)
+		t.Errorf("%d log events, failures %v; want 2 events and 6 failures of reason %q",
+			n, f.client.Counters().Failed, "chain")
 	}
 }
 
@@ -180,12 +181,12 @@
 	}
 	s.SetClientCAs(ca.New(t, "other")) // in TLS 1.3 the client is notified at its first read
 	if _, err := f.handshakeTCP(&engine.Target{Name: "soko-3", Address: s.Address}); err == nil {
-		t.Error("a server that does not trust the client has responded")
+		t.Error("a server that does not trust the client's certificate has responded")
 	}
 }
 
-// Where the rate limit has no turn in time, AwaitTurn fails with ErrFull at once, so that the request
-// goes elsewhere unsent. Health checks get no turn that a request may need.
+// If the rate limit allows no handshake in time, AwaitTurn fails with ErrFull at once, so that the
+// request is sent elsewhere. Health checks get no turn that a request may need.
 func TestTurnRejectsAtOnceWithoutBudget(t *testing.T) {
 	f := newFixture(t, func(o *Options, _ *certstore.Options) {
 		o.Budget = handshake.Config{PerServer: 0.5, All: 0.5, InitialWarmupRatio: 1, Burst: 2}
@@ -194,21 +195,21 @@
 	endpoint := &engine.Target{Name: "soko-3", Address: "127.0.0.1:1"}
 	ctx := context.Background()
 	if err := f.client.AwaitTurn(attempt.ForProbe(ctx), endpoint); err != nil {
-		t.Errorf("a health check with the full burst left: %v", err)
+		t.Errorf("health check with the full burst left: %v", err)
 	}
 	if err := f.client.AwaitTurn(attempt.ForProbe(ctx), endpoint); !errors.Is(err, attempt.ErrFull) {
-		t.Errorf("a health check with half of the burst left: %v", err)
+		t.Errorf("health check with half of the burst left: %v, want ErrFull", err)
 	}
 	f.clockOffset.Store(int64(4 * time.Second))
 	if err := f.client.AwaitTurn(ctx, endpoint); err != nil {
-		t.Errorf("a request: %v", err)
+		t.Errorf("request with the burst restored: %v", err)
 	}
 	expiring, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
 	if err := f.client.AwaitTurn(expiring, endpoint); !errors.Is(err, attempt.ErrFull) {
-		t.Errorf("a request without time left: %v", err)
+		t.Errorf("request without time left: %v, want ErrFull", err)
 	}
 	if got := f.client.Counters().Turns; got != (handshake.Counts{Immediate: 2, Deferred: 1, Rejected: 1}) {
-		t.Errorf("counted %+v", got)
+		t.Errorf("counts %+v, want 2 immediate, 1 deferred, 1 rejected", got)
 	}
 }
--- a/internal/upstream/secure/harness_test.go
+++ b/internal/upstream/secure/harness_test.go
@@ -39,7 +39,7 @@
 	keys        *certstore.Store
 	client      *Client
 	log         logcapture.Buffer
-	clockOffset atomic.Int64 // nanoseconds ahead of the system's clock
+	clockOffset atomic.Int64 // nanoseconds by which the clock is ahead of the system's
 }
 
 // now returns the time by the fixture's clock.
@@ -60,10 +60,10 @@
 	return a.Issue(s)
 }
 
-// unlimitedBudget delays no handshake of a test.
+// unlimitedBudget is high enough not to delay any handshake of a test.
 var unlimitedBudget = handshake.Config{PerServer: 1000, All: 1000, InitialWarmupRatio: 1, Burst: 1000}
 
-// newFixture returns a fixture whose options change may adjust.
+// newFixture returns a fixture. The functions in change may adjust its options.
 func newFixture(t *testing.T, change ...func(*Options, *certstore.Options)) *fixture {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
@@ -79,7 +79,7 @@
 	return f
 }
 
-// options returns a client's options without its keys.
+// options returns a client's options without its key store.
 func (f *fixture) options() Options {
 	return Options{
 		Names:    &Names{Pattern: "{name}.example.org"},
@@ -91,12 +91,12 @@
 	}
 }
 
-// keyOptions returns the options of the client's keys.
+// keyOptions returns the options of the client's key store.
 func (f *fixture) keyOptions(paths certstore.Paths) certstore.Options {
 	return certstore.Options{Paths: paths, ReplacementTime: time.Minute, Log: f.log.Logger(), Now: f.now}
 }
 
-// reopen replaces the client and its keys.
+// reopen replaces the client and its key store.
 func (f *fixture) reopen(o Options, k certstore.Options) {
 	f.t.Helper()
 	var err error
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n") // where this fails, reading returns the cause
+	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n") // if this fails, Read returns the cause
 	response := make([]byte, 4096)
 	length := 0
 	for !strings.HasSuffix(string(response[:length]), "done") {
@@ -167,7 +167,7 @@
 	return state.DidResume, nil
 }
 
-// target returns a target for a server.
+// target returns a target for a test server.
 func target(s *tlsbackend.Server) *engine.Target {
 	return &engine.Target{Name: "soko-3", Address: s.Address}
 }
--- a/internal/upstream/secure/names_test.go
+++ b/internal/upstream/secure/names_test.go
@@ -27,10 +27,10 @@
 	}
 	oneForAll := &Names{Pattern: "soko.example.org"}
 	if got, err := oneForAll.CertificateName("any.thing"); got != "soko.example.org" || err != nil {
-		t.Errorf("one name for all: %q, %v", got, err)
+		t.Errorf("pattern without a placeholder: %q, %v", got, err)
 	}
 	if _, err := (&Names{}).CertificateName("soko-3"); err == nil {
-		t.Error("a server without a name is verified")
+		t.Error("no error for a server without a configured name")
 	}
 	for name, ok := range map[string]bool{
 		"soko-3.example.org":               true,
@@ -52,12 +52,12 @@
 		strings.Repeat("a.", 150) + "a":    false,
 	} {
 		if err := CheckName(name); (err == nil) != ok {
-			t.Errorf("%q: %v", name, err)
+			t.Errorf("%q: error %v, want valid: %t", name, err, ok)
 		}
 	}
 }
 
-// Whatever name membership states, the name made of it has the form of the operator's pattern.
+// Whatever name membership states, the derived name has the form of the operator's pattern.
 func FuzzNames(f *testing.F) {
 	for _, server := range []string{"soko-3", "a.b", "{name}", "spiffe://x/y", "*"} {
 		f.Add(server)
@@ -71,7 +71,7 @@
 		wellFormed := strings.Count(got, ".") == 3 && strings.HasSuffix(got, ".soko.example.org") &&
 			!strings.ContainsAny(got, "*/ {}")
 		if !wellFormed || CheckName(got) != nil {
-			t.Errorf("%q makes %q", server, got)
+			t.Errorf("server name %q results in %q", server, got)
 		}
 	})
 }
--- a/internal/upstream/secure/sessions_model_test.go
+++ b/internal/upstream/secure/sessions_model_test.go
@@ -11,14 +11,14 @@
 	_ "pinedale/internal/standin/seeds"
 )
 
-// modelSession is a session of the model.
+// modelSession is a session that the model expects in the store.
 type modelSession struct {
 	sessionKey
 	generation int
 	state      *tls.ClientSessionState
 }
 
-// sessionModel is what a sessionStore must hold.
+// sessionModel is the expected content of a sessionStore, changed by the same operations.
 type sessionModel struct {
 	t        *rapid.T
 	store    *sessionStore
@@ -37,7 +37,7 @@
 	return session, true
 }
 
-// put stores a session. One that began under earlier material than the one in the store is dropped.
+// put stores a session, unless the stored one began under a later generation of keys.
 func (m *sessionModel) put(key sessionKey, generation int) {
 	state := &tls.ClientSessionState{}
 	m.store.cacheFor(key.target, key.protocol, generation).Put("any", state)
@@ -56,13 +56,13 @@
 	}
 }
 
-// putNil removes a session as crypto/tls does.
+// putNil removes a session, as crypto/tls does when it finds one invalid.
 func (m *sessionModel) putNil(key sessionKey, generation int) {
 	m.store.cacheFor(key.target, key.protocol, generation).Put("any", nil)
 	m.take(key)
 }
 
-// get looks up a session and checks that the right one is found.
+// get looks up a session and compares the result with the model.
 func (m *sessionModel) get(key sessionKey, generation int) {
 	got, found := m.store.cacheFor(key.target, key.protocol, generation).Get("any")
 	session, stored := m.take(key)
@@ -73,12 +73,12 @@
 		}
 	case session.generation != generation:
 		if found {
-			m.t.Fatal("found a session of other material")
+			m.t.Fatal("found a session of another generation of keys")
 		}
 	default:
 		m.sessions = append(m.sessions, session)
 		if !found || got != session.state {
-			m.t.Fatalf("found %t, the stored one: %t", found, got == session.state)
+			m.t.Fatalf("found %t, the stored session: %t; want both", found, got == session.state)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	m.sessions = slices.DeleteFunc(m.sessions, func(other modelSession) bool { return other.target == target })
 }
 
-// checkCount checks the number of sessions.
+// checkCount compares the number of sessions with the model.
 func (m *sessionModel) checkCount() {
 	count := m.store.count()
 	if count != len(m.sessions) || count > m.capacity || len(m.store.entries) != count {
@@ -99,7 +99,7 @@
 }
 
 // Whatever is stored, looked up and invalidated, a session is found only under its own key and
-// material and is the last one stored there; the most recently used are kept, up to the capacity.
+// generation, and is the last one stored there. The most recently used are kept, up to the capacity.
 func TestSessionStoreMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 6).Draw(t, "capacity")
--- a/internal/upstream/secure/sessions_test.go
+++ b/internal/upstream/secure/sessions_test.go
@@ -24,8 +24,8 @@
 }
 
 // A session is resumed with the same incarnation of a server, under the same keys and over the same
-// protocol, and never after a change of roots, a revocation, the certificate's expiry or the
-// server's restart.
+// protocol. It is never resumed after a change of the roots, a revocation, the certificate's expiry
+// or the server's restart.
 func TestSessionIsResumedOnlyWithSameIncarnationAndKeys(t *testing.T) {
 	for protocol, handshakeBy := range map[string]handshakeFunc{
 		protocolHTTP1: (*fixture).handshakeTCP,
@@ -35,7 +35,7 @@
 			for name, c := range map[string]struct {
 				change  func(f *fixture, s *tlsbackend.Server, pair *ca.Pair) // between two handshakes
 				resumed bool
-				reason  string // of the second one's failure, "" for none
+				reason  string // of the second handshake's failure, "" for none
 			}{
 				"no change": {func(*fixture, *tlsbackend.Server, *ca.Pair) {
 				}, true, ""},
@@ -81,10 +81,11 @@
 					counters := f.client.Counters()
 					if resumed != c.resumed || (err == nil) != (c.reason == "") ||
 						counters.Failed[c.reason] == 0 && c.reason != "" {
-						t.Errorf("resumed %t, %v, counted %+v", resumed, err, counters)
+						t.Errorf("resumed %t, error %v, counters %+v; want resumed %t, failure %q",
+							resumed, err, counters, c.resumed, c.reason)
 					}
 					if c.reason != "" && f.client.Counters().Sessions != 0 {
-						t.Error("the session of a failed handshake is still stored")
+						t.Error("a session is still cached after a failed handshake")
 					}
 				})
 			}
@@ -92,7 +93,7 @@
 	}
 }
 
-// A server that has restarted at the same address is another incarnation: no session is resumed with it.
+// A server that has restarted at the same address is another incarnation: its earlier session is not resumed.
 func TestSessionIsNotResumedWithNextIncarnation(t *testing.T) {
 	f := newFixture(t)
 	s := tlsbackend.Start(t, issue(f.root, ca.Spec{}))
@@ -103,7 +104,7 @@
 	before.Close()
 	f.client.Retire(before)
 	if resumed, err := f.handshakeTCP(target(s)); resumed || err != nil {
-		t.Errorf("resumed %t, %v: a session of an earlier incarnation", resumed, err)
+		t.Errorf("resumed %t, error %v; want a full handshake with the next incarnation", resumed, err)
 	}
 }
 
@@ -121,15 +122,15 @@
 		}
 	}
 	if n := f.client.Counters().Sessions; n != 2 {
-		t.Errorf("%d sessions are stored", n)
+		t.Errorf("%d sessions are cached, want 2", n)
 	}
-	// Server 0 was evicted, and evicts server 1 by its handshake; server 2 is still there.
+	// Server 0 was evicted, and its next handshake evicts server 1; server 2 is still cached.
 	for i, want := range []bool{false, false, true} {
 		if i == 1 {
 			continue
 		}
 		if resumed, _ := f.handshakeTCP(targets[i]); resumed != want {
-			t.Errorf("server %d: resumed %t", i, resumed)
+			t.Errorf("server %d: resumed %t, want %t", i, resumed, want)
 		}
 	}
 }
