--- a/internal/upstream/http3upstream/harness_test.go
+++ b/internal/upstream/http3upstream/harness_test.go
@@ -34,7 +34,7 @@
 	upstream *Upstream
 }
 
-// newFixture returns an upstream with at most three connections.
+// newFixture returns a fixture whose upstream opens at most three connections.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{t: t, pair: cert.New(t)}
@@ -56,7 +56,7 @@
 	return f
 }
 
-// endpoint starts an endpoint that accepts so many streams at once.
+// endpoint starts an endpoint that accepts at most the given number of concurrent streams.
 func (f *fixture) endpoint(streams int64, handle http.HandlerFunc) *endpoint {
 	f.t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -89,7 +89,7 @@
 	return e
 }
 
-// rawEndpoint starts an endpoint that has a function respond on each request stream.
+// rawEndpoint starts an endpoint that calls respond on each request stream.
 func (f *fixture) rawEndpoint(respond func(*quic.Stream)) *engine.Target {
 	f.t.Helper()
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -119,7 +119,7 @@
 	return &engine.Target{Address: listener.Addr().String()}
 }
 
-// serveRawConn reads the request on each stream of a connection and has a function respond to it.
+// serveRawConn reads the request on each stream of a connection and calls respond on the stream.
 func serveRawConn(conn *quic.Conn, goroutines *sync.WaitGroup, respond func(*quic.Stream)) {
 	if control, err := conn.OpenUniStream(); err == nil {
 		_, _ = control.Write([]byte{0, 4, 0}) // a control stream with no settings
@@ -136,7 +136,7 @@
 	}
 }
 
-// send sends a request that ends after a timeout.
+// send sends a request with a deadline.
 func (f *fixture) send(t *engine.Target, timeout time.Duration) engine.Result {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/upstream/http3upstream/outcome_test.go
+++ b/internal/upstream/http3upstream/outcome_test.go
@@ -37,17 +37,17 @@
 			r := f.send(e.target, timeout)
 			const want = "POSTtill.example/pay/x%20y?q=11bodytrue"
 			if r.Status != balancer.OK || string(r.Body) != want || len(r.Load) != 2 || r.Load[1] != 2 {
-				t.Errorf("status %v, body %q, load %v", r.Status, r.Body, r.Load)
+				t.Errorf("status %v, body %q, load %v; want OK, %q, 2 values", r.Status, r.Body, r.Load, want)
 			}
 		})
 	}
 	requests.Wait()
 	if n := e.conns.Load(); n != 1 {
-		t.Errorf("%d connections for 30 requests", n)
+		t.Errorf("%d connections for 30 requests, want 1", n)
 	}
 }
 
-// The outcomes after which a request may have run, and the one that proves that it has not.
+// Outcomes after which a request may have run, and the outcome that proves that it has not.
 func TestOutcomeStatesWhatIsProven(t *testing.T) {
 	f := newFixture(t)
 	e := f.endpoint(100, func(out http.ResponseWriter, in *http.Request) {
@@ -92,15 +92,15 @@
 		return f.rawEndpoint(func(stream *quic.Stream) { stream.CancelWrite(quic.StreamErrorCode(code)) })
 	}
 	if r := f.send(reset(http3.ErrCodeRequestRejected), time.Second); r.Status != balancer.Full {
-		t.Errorf("rejected unprocessed: %v", r.Status)
+		t.Errorf("request rejected unprocessed: status %v, want Full", r.Status)
 	}
 	if r := f.send(reset(http3.ErrCodeInternalError), time.Second); r.Status != balancer.Reset {
-		t.Errorf("reset after the last byte: %v", r.Status)
+		t.Errorf("stream reset after the last byte: status %v, want Reset", r.Status)
 	}
 }
 
-// Where no endpoint responds an attempt ends at the dial timeout as not run; the next one dials
-// anew.
+// If no endpoint responds, an attempt ends at the dial timeout as not run, and the next one dials
+// again.
 func TestUnreachableEndpointProvesNotRun(t *testing.T) {
 	f := newFixture(t)
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0") // receives, and sends nothing
@@ -116,17 +116,17 @@
 		}
 	}
 	if elapsed := time.Since(start); elapsed > 5*time.Second {
-		t.Errorf("two attempts took %v", elapsed)
+		t.Errorf("two attempts took %v, want at most 5 s", elapsed)
 	}
 	closed := &engine.Target{Address: socket.LocalAddr().String()}
 	closed.Close()
 	if r := f.send(closed, time.Second); r.Status != balancer.NotSent {
-		t.Errorf("to a closed target: %v", r.Status)
+		t.Errorf("closed target: status %v, want NotSent", r.Status)
 	}
 }
 
-// Where an endpoint accepts no new streams a request ends at the stream timeout as not run, long
-// before its deadline.
+// If an endpoint accepts no new streams, a request ends at the stream timeout as not run, long before
+// its deadline.
 func TestStreamLimitProvesNotRun(t *testing.T) {
 	f := newFixture(t)
 	proceed := make(chan struct{})
@@ -136,14 +136,15 @@
 	wait.Until(t, "the first request", func() bool { return e.requests.Load() == 1 })
 	start := time.Now()
 	if r := f.send(e.target, time.Minute); r.Status != balancer.ConnectFailed || e.requests.Load() != 1 {
-		t.Errorf("status %v, %d requests arrived", r.Status, e.requests.Load())
+		t.Errorf("request beyond the stream limit: status %v, want ConnectFailed; %d requests arrived, want 1",
+			r.Status, e.requests.Load())
 	}
 	if elapsed := time.Since(start); elapsed > 5*time.Second {
-		t.Errorf("ended after %v", elapsed)
+		t.Errorf("request beyond the stream limit ended after %v, want at most 5 s", elapsed)
 	}
 	close(proceed)
 	if r := <-first; r.Status != balancer.OK {
-		t.Errorf("the first: %v", r.Status)
+		t.Errorf("first request: status %v, want OK", r.Status)
 	}
 }
 
@@ -166,8 +167,8 @@
 	<-streamReset
 }
 
-// With 5 % and 20 % of datagrams lost, and others duplicated and reordered, no request is sent
-// twice, and requests are served.
+// With 5 % or 20 % of datagrams lost, and others duplicated and reordered, no request is sent twice,
+// and at least one is served.
 func TestPacketLossSendsNoRequestTwice(t *testing.T) {
 	for _, loss := range []float64{0.05, 0.2} {
 		t.Run(fmt.Sprint(loss), func(t *testing.T) {
@@ -195,12 +196,12 @@
 					served++
 				case balancer.ConnectFailed, balancer.Reset: // the handshake timed out, or the response stalled
 				default:
-					t.Errorf("request %d: %v", n, r.Status)
+					t.Errorf("request %d: status %v, want OK, ConnectFailed or Reset", n, r.Status)
 				}
 				cancel()
 			}
 			if served == 0 || duplicates.Load() != 0 || int(e.requests.Load()) < served {
-				t.Errorf("%d served, %d arrived, %d twice", served, e.requests.Load(), duplicates.Load())
+				t.Errorf("%d requests served, %d arrived, %d arrived twice", served, e.requests.Load(), duplicates.Load())
 			}
 		})
 	}
--- a/internal/upstream/http3upstream/pool_test.go
+++ b/internal/upstream/http3upstream/pool_test.go
@@ -19,7 +19,7 @@
 	"pinedale/internal/standin/wait"
 )
 
-// After GOAWAY requests in flight are completed, and no new ones are sent on the connection.
+// After GOAWAY, requests in flight are completed, and no new ones are sent on the connection.
 func TestGoAwayCompletesRequestsInFlight(t *testing.T) {
 	f := newFixture(t)
 	proceed := make(chan struct{})
@@ -34,21 +34,21 @@
 	}()
 	wait.Until(t, "GOAWAY to arrive", func() bool { return f.send(e.target, time.Second).Status != balancer.Timeout })
 	if r := f.send(e.target, time.Second); r.Status != balancer.ConnectFailed && r.Status != balancer.Full {
-		t.Errorf("after GOAWAY: %v", r.Status)
+		t.Errorf("request after GOAWAY: status %v, want ConnectFailed or Full", r.Status)
 	}
 	if e.requests.Load() != 1 {
-		t.Errorf("%d requests arrived", e.requests.Load())
+		t.Errorf("%d requests arrived, want 1", e.requests.Load())
 	}
 	close(proceed)
 	if r := <-first; r.Status != balancer.OK {
-		t.Errorf("request in flight: %v", r.Status)
+		t.Errorf("request in flight: status %v, want OK", r.Status)
 	}
 	f.upstream.Close() // the server waits for its clients to disconnect
 	<-down
 }
 
-// A retired target's connection is closed with its last request; connections are bounded, and
-// pruned once idle.
+// A retired target's connection is closed with its last request. The number of connections is bounded,
+// and idle ones are pruned.
 func TestRetireAndPruneCloseConnections(t *testing.T) {
 	f := newFixture(t)
 	proceed := make(chan struct{})
@@ -60,7 +60,7 @@
 	f.upstream.Retire(e.target)
 	close(proceed)
 	if r := <-result; r.Status != balancer.OK {
-		t.Errorf("in flight when retired: %v", r.Status)
+		t.Errorf("request in flight when retired: status %v, want OK", r.Status)
 	}
 	openConns := func() int {
 		f.upstream.mu.Lock()
@@ -68,7 +68,7 @@
 		return f.upstream.open
 	}
 	if n := openConns(); n != 0 {
-		t.Errorf("%d connections are open", n)
+		t.Errorf("%d connections are open after Retire, want 0", n)
 	}
 	for n := range 5 {
 		quick := f.endpoint(100, func(http.ResponseWriter, *http.Request) {})
@@ -77,18 +77,18 @@
 			want = balancer.NotSent
 		}
 		if r := f.send(quick.target, time.Minute); r.Status != want {
-			t.Errorf("connection %d: %v", n, r.Status)
+			t.Errorf("request on connection %d: status %v, want %v", n, r.Status, want)
 		}
 	}
 	f.upstream.options.Idle = 0
 	f.upstream.Prune()
 	if n := openConns(); n != 0 {
-		t.Errorf("%d connections are open after Prune", n)
+		t.Errorf("%d connections are open after Prune, want 0", n)
 	}
 }
 
-// serveWithResets runs a server on a socket until stop is called. It resets the connections of servers before it on the
-// same address.
+// serveWithResets runs a server on a socket until stop is called. It sends stateless resets for connections to
+// earlier servers at the same address.
 func (f *fixture) serveWithResets(socket net.PacketConn, requests *atomic.Int64) (stop func()) {
 	f.t.Helper()
 	resetKey := quic.StatelessResetKey{1}
@@ -114,7 +114,7 @@
 }
 
 // A restarted server does not know the connection. A request sent on it may have run, and ends at
-// once with the server's stateless reset, not with a timeout; the next request finds the server.
+// once with the server's stateless reset, not with a timeout; the next request uses a new connection.
 func TestServerRestartResetsRequestsInFlight(t *testing.T) {
 	f := newFixture(t)
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -131,11 +131,11 @@
 	defer relay.Close()
 	target := &engine.Target{Address: relay.Address}
 	if r := f.send(target, wait.Timeout); r.Status != balancer.OK {
-		t.Fatalf("before: %v", r.Status)
+		t.Fatalf("before the restart: status %v, want OK", r.Status)
 	}
 	relay.SetBlocked(udprelay.ToClient, true)
 	stop()
-	if err := relay.Rebind(); err != nil { // packets on their way are lost, the server's close included
+	if err := relay.Rebind(); err != nil { // packets in transit are lost, including the server's close
 		t.Fatal(err)
 	}
 	if socket, err = net.ListenPacket("udp", address); err != nil {
@@ -144,17 +144,17 @@
 	defer f.serveWithResets(socket, &requests)()
 	relay.SetBlocked(udprelay.ToClient, false)
 	if r := f.send(target, wait.Timeout); r.Status != balancer.Reset {
-		t.Errorf("on the earlier connection: %v, want Reset", r.Status)
+		t.Errorf("on the connection to the earlier server: status %v, want Reset", r.Status)
 	}
-	// The connection's end may still be propagating through this process: a request that was not
-	// written then has not run, and is sent again.
+	// The end of the connection may not have been processed yet: a request that was not written
+	// because of it has not run, and is sent again.
 	var r engine.Result
 	wait.Until(t, "the next connection", func() bool {
 		r = f.send(target, wait.Timeout)
 		return r.Status != balancer.ConnectFailed
 	})
 	if r.Status != balancer.OK || requests.Load() != 2 {
-		t.Errorf("after: %v, %d requests arrived", r.Status, requests.Load())
+		t.Errorf("after the restart: status %v, %d requests arrived; want OK, 2", r.Status, requests.Load())
 	}
 }
 
@@ -164,7 +164,7 @@
 	begun, ended atomic.Int64
 }
 
-// QUIC counts a handshake.
+// QUIC counts the begin and the end of a handshake.
 func (h *handshakeCounter) QUIC(t *engine.Target) (
 	*tls.Config, func(tls.ConnectionState, error) func(time.Time) bool, error) {
 	h.begun.Add(1)
@@ -194,9 +194,9 @@
 	start := time.Now()
 	f.upstream.Close()
 	if elapsed := time.Since(start); elapsed > wait.Timeout {
-		t.Errorf("Close took %v", elapsed)
+		t.Errorf("Close took %v, want at most %v", elapsed, wait.Timeout)
 	}
 	if ended := handshakes.ended.Load(); ended != 1 || !completed.Load() {
-		t.Errorf("after Close %d of 1 handshakes have ended, the probe: %t", ended, completed.Load())
+		t.Errorf("after Close %d of 1 handshakes have ended; probe completed: %t", ended, completed.Load())
 	}
 }
