--- a/internal/httpmsg/headscan.go
+++ b/internal/httpmsg/headscan.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// HeadScan scans the bytes of a message for what net/http hides: where a header has both Content-Length and
+// HeadScan scans the bytes of a message for what net/http hides: if a header has both Content-Length and
 // Transfer-Encoding, net/http silently drops the former. Two readers that disagree on the length may then
 // take the same bytes for a body and for another request (request smuggling).
 type HeadScan struct {
--- a/internal/httpmsg/httpmsg.go
+++ b/internal/httpmsg/httpmsg.go
@@ -1,4 +1,4 @@
-// Package httpmsg is what fronts and upstreams share about HTTP messages: their size limits, which headers
+// Package httpmsg defines what fronts and upstreams share about HTTP messages: their size limits, which headers
 // are end-to-end, the format of load reports, and a scanner for the details of an HTTP/1.1 header that
 // net/http hides. It has no state.
 package httpmsg
--- a/internal/upstream/attempt/doc.go
+++ b/internal/upstream/attempt/doc.go
@@ -1,4 +1,4 @@
-// Package attempt holds what the upstreams share, whatever protocol they use: it starts and
+// Package attempt implements what all upstreams share, independently of their protocol: it starts and
 // cancels the attempts of a request, bounds the time in which a request may still be written,
 // maps failures and responses to outcomes, and sends health checks.
 //
--- a/internal/upstream/handshake/handshake_test.go
+++ b/internal/upstream/handshake/handshake_test.go
@@ -11,7 +11,7 @@
 	_ "pinedale/internal/standin/seeds"
 )
 
-// start is the instant at which the tests begin.
+// start is the first instant of the tests' virtual time.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // newBudget returns a budget with a valid configuration.
--- a/internal/upstream/http3upstream/pool.go
+++ b/internal/upstream/http3upstream/pool.go
@@ -103,7 +103,7 @@
 	}()
 }
 
-// abandon drains a connection that failed to open a stream, and reports the failure.
+// abandon drains a connection that could not open a stream, and reports the failure.
 func (u *Upstream) abandon(c *conn) {
 	u.mu.Lock()
 	u.drainLocked(c)
--- a/internal/upstream/httpupstream/exchange.go
+++ b/internal/upstream/httpupstream/exchange.go
@@ -43,8 +43,8 @@
 		reusable = true
 		return nil, &attempt.UnsentError{Cause: err}
 	}
-	// Checked last before the write: bytes that have arrived by now are not part of any response
-	// to this request.
+	// Checked last before the write: bytes that have arrived by now belong to no request and
+	// must not be taken for the response to this one.
 	if c.used && !c.isAlive() {
 		return nil, errStale
 	}
--- a/internal/upstream/httpupstream/pool_test.go
+++ b/internal/upstream/httpupstream/pool_test.go
@@ -21,7 +21,7 @@
 	e := scriptedconn.New(t, func(e *scriptedconn.Endpoint, conn net.Conn, in *bufio.Reader) {
 		if e.Next(in) != nil {
 			_, _ = io.WriteString(conn, scriptedconn.Served)
-			e.Next(in) // closes without a response
+			e.Next(in) // then the connection is closed without a response
 		}
 	})
 	u, target := newTestUpstream(4), &engine.Target{Address: e.Address}
--- a/internal/upstream/protocol/protocol.go
+++ b/internal/upstream/protocol/protocol.go
@@ -46,8 +46,9 @@
 // New returns an empty tracker.
 func New() *Tracker { return &Tracker{map[string]*entry{}} }
 
-// Choose returns whether a request to an address is sent over HTTP/3. If it is not, attempt tells
-// the caller to attempt a connection over HTTP/3 in the background and Record its result.
+// Choose returns whether a request to an address is sent over HTTP/3. If it is not, attempt
+// reports whether the caller must attempt a connection over HTTP/3 in the background and Record its
+// result.
 func (t *Tracker) Choose(now time.Time, address string) (http3, attempt bool) {
 	e := t.entries[address]
 	if e == nil {
--- a/internal/upstream/secure/sessions_model_test.go
+++ b/internal/upstream/secure/sessions_model_test.go
@@ -26,7 +26,7 @@
 	sessions []modelSession // the most recently used last
 }
 
-// take removes the session with a key and returns it. ok is false where there is none.
+// take removes the session with a key and returns it. ok is false if there is none.
 func (m *sessionModel) take(key sessionKey) (session modelSession, ok bool) {
 	index := slices.IndexFunc(m.sessions, func(other modelSession) bool { return other.sessionKey == key })
 	if index < 0 {
