--- a/internal/app/fronts.go
+++ b/internal/app/fronts.go
@@ -45,14 +45,14 @@
 	}
 	file := i.file
 	front := http3front.New(i.engine, upstream, http3front.Options{
-		KeyStore:    i.stores[file.HTTP3.Keys],
-		Name:        file.Name,
-		Connections: file.HTTP3.MaxConnections,
-		Streams:     file.HTTP3.MaxStreams,
-		Early:       file.HTTP3.EarlyData,
-		BodyBytes:   maxBodyBytes(file),
-		Parser:      i.parser,
-		Log:         i.log,
+		KeyStore:        i.stores[file.HTTP3.Keys],
+		Name:            file.Name,
+		Connections:     file.HTTP3.MaxConnections,
+		Streams:         file.HTTP3.MaxStreams,
+		AcceptEarlyData: file.HTTP3.EarlyData,
+		BodyBytes:       maxBodyBytes(file),
+		Parser:          i.parser,
+		Log:             i.log,
 	})
 	i.HTTP3 = socket.LocalAddr()
 	i.serve(func() error { return front.Serve(ctx, socket) })
@@ -74,7 +74,7 @@
 		BodyBytes:          maxBodyBytes(file),
 		Parser:             i.parser,
 		AltSvc:             altSvc,
-		EndBy:              func(longest time.Duration) time.Duration { return longest + endMargin },
+		DrainTimeout:       func(longest time.Duration) time.Duration { return longest + endMargin },
 		Log:                i.log,
 	})
 	i.HTTP = listener.Addr()
@@ -94,11 +94,11 @@
 		MaxEntries:   int(file.Limits.MemoryBytes() / entryMemoryDivisor / entryBytes),
 		LoadFields:   file.Fleet.LoadFields,
 		Parser:       i.parser,
-		Drain:        file.LongestDeadline(),
+		DrainTimeout: file.LongestDeadline(),
 		Log:          i.log,
 	}
 	if store := i.stores[file.ExtProc.Keys]; store != nil {
-		options.TLS, options.Renew = store.Server("h2"), store.ReplacementTime()
+		options.TLS, options.MaxTLSConnectionAge = store.Server("h2"), store.ReplacementTime()
 	}
 	i.extProc = extproc.New(i.engine, options)
 	i.ExtProc = listener.Addr()
--- a/internal/front/extproc/harness_test.go
+++ b/internal/front/extproc/harness_test.go
@@ -118,7 +118,7 @@
 		MaxBacklog:   500,
 		CallersRetry: true,
 		MaxEntries:   10_000,
-		Drain:        time.Second,
+		DrainTimeout: time.Second,
 		Log:          slog.New(slog.DiscardHandler),
 	}
 	if alter != nil {
--- a/internal/front/extproc/protocol_test.go
+++ b/internal/front/extproc/protocol_test.go
@@ -236,7 +236,7 @@
 // A truncated message ends its own stream only, whether the caller ends the stream there or just stops. So does
 // garbage in place of a message.
 func TestTruncatedMessageEndsItsStreamOnly(t *testing.T) {
-	h := start(t, 1, func(o *Options, _ *balancer.Settings) { o.Drain = -streamGrace + time.Second })
+	h := start(t, 1, func(o *Options, _ *balancer.Settings) { o.DrainTimeout = -streamGrace + time.Second })
 	c := h.dialRaw()
 	prefix := func(size uint32) []byte { return binary.BigEndian.AppendUint32([]byte{0}, size) }
 	for i, send := range []struct {
--- a/internal/front/extproc/server.go
+++ b/internal/front/extproc/server.go
@@ -48,16 +48,16 @@
 
 // Options configure a Server and bound what callers may hold.
 type Options struct {
-	MaxStreams   int                 // max open streams over all connections
-	MaxBacklog   int                 // max requests that wait for the engine; more are rejected at once
-	CallersRetry bool                // callers request another decision after a reported failure
-	MaxEntries   int                 // max entries of the routing ledger
-	LoadFields   []string            // names of the load report's fields
-	Parser       *requestmeta.Parser // nil for the one of the engine's settings
-	TLS          *tls.Config         // nil for plain text
-	Renew        time.Duration       // max age of a TLS connection, so that none outlives its certificate by more
-	Drain        time.Duration       // longest deadline of a class: open requests finish within it at shutdown
-	Log          *slog.Logger
+	MaxStreams          int                 // max open streams over all connections
+	MaxBacklog          int                 // max requests that wait for the engine; more are rejected at once
+	CallersRetry        bool                // callers request another decision after a reported failure
+	MaxEntries          int                 // max entries of the routing ledger
+	LoadFields          []string            // names of the load report's fields
+	Parser              *requestmeta.Parser // nil for the one of the engine's settings
+	TLS                 *tls.Config         // nil for plain text
+	MaxTLSConnectionAge time.Duration       // max age of a TLS connection, so that none outlives its certificate by more
+	DrainTimeout        time.Duration       // longest deadline of a class: open requests finish within it at shutdown
+	Log                 *slog.Logger
 }
 
 // Server is the front. Make one with New.
@@ -107,7 +107,7 @@
 	pings := keepalive.ServerParameters{Time: pingInterval, Timeout: pingTimeout}
 	var options []grpc.ServerOption
 	if s.opts.TLS != nil {
-		pings.MaxConnectionAge = s.opts.Renew // gRPC spreads it by a tenth; open streams continue
+		pings.MaxConnectionAge = s.opts.MaxTLSConnectionAge // gRPC spreads it by a tenth; open streams continue
 		options = append(options, grpc.Creds(credentials.NewTLS(s.opts.TLS)))
 	}
 	enforcement := keepalive.EnforcementPolicy{MinTime: minCallerPingInterval, PermitWithoutStream: true}
@@ -137,7 +137,7 @@
 	if s.streams.Load() >= int64(s.opts.MaxStreams) {
 		return nil, s.tooManyStreams()
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.opts.Drain+streamGrace)
+	ctx, cancel := context.WithTimeout(ctx, s.opts.DrainTimeout+streamGrace)
 	_ = cancel // the end of the stream cancels the parent, which stops the timer
 	return ctx, nil
 }
@@ -171,7 +171,7 @@
 	case <-ctx.Done():
 	}
 	s.setHealth(healthv1.HealthCheckResponse_NOT_SERVING)
-	forcedStop := time.AfterFunc(s.opts.Drain+streamGrace, s.grpc.Stop)
+	forcedStop := time.AfterFunc(s.opts.DrainTimeout+streamGrace, s.grpc.Stop)
 	defer forcedStop.Stop()
 	s.grpc.GracefulStop()
 	return <-served
--- a/internal/front/extproc/stream_test.go
+++ b/internal/front/extproc/stream_test.go
@@ -110,7 +110,7 @@
 	)
 	h := start(t, 1, func(o *Options, _ *balancer.Settings) {
 		o.MaxStreams = maxStreams
-		o.Drain = 6*time.Second - streamGrace
+		o.DrainTimeout = 6*time.Second - streamGrace
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/front/http3front/earlydata_test.go
+++ b/internal/front/http3front/earlydata_test.go
@@ -53,7 +53,7 @@
 // Early data may be a replay: idempotent requests in it are served, all others are rejected with 425 (RFC 8470)
 // and do not run.
 func TestEarlyDataServesIdempotentRequestsOnly(t *testing.T) {
-	h := start(t, 0, func(o *Options) { o.Early = true })
+	h := start(t, 0, func(o *Options) { o.AcceptEarlyData = true })
 	first := h.newClient()
 	if code, text := h.roundTrip(first, h.newRequest("GET", "read", "")); code != 200 {
 		t.Fatal(code, text)
--- a/internal/front/http3front/server.go
+++ b/internal/front/http3front/server.go
@@ -32,14 +32,14 @@
 
 // Options are the limits of a server.
 type Options struct {
-	KeyStore    *certstore.Store // certificates of the server, and the roots that clients are verified by
-	Name        string           // of the instance: it makes the key of stateless resets its own
-	Connections int              // open at most
-	Streams     int              // requests in flight on one connection, at most
-	BodyBytes   int64            // of the requests in flight together, at most
-	Early       bool             // accept 0-RTT data, for idempotent classes (RFC 8470)
-	Parser      *requestmeta.Parser
-	Log         *slog.Logger
+	KeyStore        *certstore.Store // certificates of the server, and the roots that clients are verified by
+	Name            string           // of the instance: it makes the key of stateless resets its own
+	Connections     int              // open at most
+	Streams         int              // requests in flight on one connection, at most
+	BodyBytes       int64            // of the requests in flight together, at most
+	AcceptEarlyData bool             // accept 0-RTT data, for idempotent classes (RFC 8470)
+	Parser          *requestmeta.Parser
+	Log             *slog.Logger
 }
 
 // Server is the front. Make one with New.
@@ -136,7 +136,7 @@
 	return transport.ListenEarly(http3.ConfigureTLSConfig(config), &quic.Config{
 		MaxIdleTimeout:                 idleTimeout,
 		MaxIncomingStreams:             int64(s.opts.Streams),
-		Allow0RTT:                      s.opts.Early,
+		Allow0RTT:                      s.opts.AcceptEarlyData,
 		InitialStreamReceiveWindow:     streamWindow,
 		MaxStreamReceiveWindow:         streamWindow,
 		InitialConnectionReceiveWindow: connectionWindow,
--- a/internal/front/httpfront/drain.go
+++ b/internal/front/httpfront/drain.go
@@ -26,7 +26,7 @@
 func (s *Server) drain(served <-chan struct{}) {
 	longest := s.dispatcher.LongestDeadline()
 	began := time.Now()
-	end := began.Add(s.opts.EndBy(longest))
+	end := began.Add(s.opts.DrainTimeout(longest))
 	s.endAt.Store(s.engine.Now() + time.Until(end).Microseconds())
 	s.clients.closeIdleConnections()
 	stopped, accepting, expired := false, true, false
--- a/internal/front/httpfront/listener_test.go
+++ b/internal/front/httpfront/listener_test.go
@@ -222,10 +222,10 @@
 		50 * time.Millisecond, time.Second, 3 * time.Second, 6 * time.Second, time.Minute,
 	} {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
-		if exit := s.opts.EndBy(longest) + exitDelay; exit >= kill {
+		if exit := s.opts.DrainTimeout(longest) + exitDelay; exit >= kill {
 			t.Errorf("longest deadline %v: the process ends %v after SIGTERM, it may be killed after %v", longest, exit, kill)
 		}
-		if s.opts.EndBy(longest) < defaultAcceptTime-150*time.Millisecond {
+		if s.opts.DrainTimeout(longest) < defaultAcceptTime-150*time.Millisecond {
 			t.Errorf("longest deadline %v: draining ends while clients still connect", longest)
 		}
 	}
--- a/internal/front/httpfront/server.go
+++ b/internal/front/httpfront/server.go
@@ -40,10 +40,10 @@
 	Parser             *requestmeta.Parser // nil for that of the engine's settings
 	AltSvc             string              // sent with each response, "" for none (RFC 7838)
 	AcceptFor          time.Duration       // how long new connections are accepted while draining; 0 for the platform's
-	// EndBy is how long after the start of draining each request in flight has its response, by the longest
+	// DrainTimeout is how long after the start of draining each request in flight has its response, by the longest
 	// deadline of any class; nil for the platform's.
-	EndBy func(longest time.Duration) time.Duration
-	Log   *slog.Logger
+	DrainTimeout func(longest time.Duration) time.Duration
+	Log          *slog.Logger
 }
 
 // Server is the front. Make one with New.
@@ -71,8 +71,8 @@
 	if o.AcceptFor == 0 {
 		o.AcceptFor = defaultAcceptTime
 	}
-	if o.EndBy == nil {
-		o.EndBy = func(longest time.Duration) time.Duration {
+	if o.DrainTimeout == nil {
+		o.DrainTimeout = func(longest time.Duration) time.Duration {
 			return max(o.AcceptFor, min(longest, maxKillDelay)+killDelay-killMargin)
 		}
 	}
--- a/internal/sidecar/events_test.go
+++ b/internal/sidecar/events_test.go
@@ -309,7 +309,7 @@
 		dir:         fakediscovery.New(t, o.hosts...),
 		adjustFront: func(f *httpfront.Options) {
 			f.AcceptFor = time.Millisecond
-			f.EndBy = func(time.Duration) time.Duration { return wait.Timeout } // it ends once all is answered
+			f.DrainTimeout = func(time.Duration) time.Duration { return wait.Timeout } // it ends once all is answered
 		},
 	}
 	o.startReady(func(s *testfleet.SidecarSettings) {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -24,7 +24,7 @@
 	end := make(chan time.Duration, 1)
 	h := startWith(t, nil, func(o *httpfront.Options) {
 		o.AcceptFor = time.Millisecond
-		o.EndBy = func(longest time.Duration) time.Duration {
+		o.DrainTimeout = func(longest time.Duration) time.Duration {
 			end <- longest
 			return time.Second
 		}
@@ -67,7 +67,7 @@
 	first, second := newServingEndpoint(t), newServingEndpoint(t)
 	h := startWith(t, nil, func(o *httpfront.Options) {
 		o.AcceptFor = wait.Timeout
-		o.EndBy = func(time.Duration) time.Duration { return wait.Timeout }
+		o.DrainTimeout = func(time.Duration) time.Duration { return wait.Timeout }
 	}, fakediscovery.Ready("s-1", first.Address))
 	h.waitFor("the watch", func() bool { return h.dir.CallCount() >= 2 })
 	h.stop()
@@ -96,7 +96,7 @@
 	endpoint := scriptedconn.New(t, scriptedconn.ServedAfter(answer, isPay))
 	h := startWith(t, nil, func(o *httpfront.Options) {
 		o.AcceptFor = 3 * time.Second // a busy machine may be slow to connect
-		o.EndBy = func(time.Duration) time.Duration { return wait.Timeout }
+		o.DrainTimeout = func(time.Duration) time.Duration { return wait.Timeout }
 	}, fakediscovery.Ready("s-1", endpoint.Address))
 	idle := h.dial()
 	h.mustWrite(idle, h.requestText("read", ""))
