--- a/internal/front/extproc/decision_test.go
+++ b/internal/front/extproc/decision_test.go
@@ -16,8 +16,8 @@
 	"pinedale/internal/standin/proxy"
 )
 
-// A forward names its endpoint as header and as metadata, with the timeout and the attempt, and has the proxy send no
-// bodies.
+// A forward decision carries its endpoint as a header and as metadata, the timeout and the attempt number, and has the
+// proxy send no bodies.
 func TestForwardNamesEndpointTimeoutAndAttempt(t *testing.T) {
 	h := start(t, 2, nil)
 	s := h.open(context.Background())
@@ -34,32 +34,32 @@
 	}
 	endpoint := decision.Endpoint
 	if endpoint != h.servers[0].Address && endpoint != h.servers[1].Address || decision.Metadata != endpoint {
-		t.Errorf("endpoint %q, metadata %q", endpoint, decision.Metadata)
+		t.Errorf("endpoint %q, metadata %q, want the address of a server in both", endpoint, decision.Metadata)
 	}
 	timeout, _ := strconv.Atoi(decision.Headers[headerTimeout])
 	if timeout <= 0 || timeout > 900 || decision.Headers[headerTimeRemaining] != decision.Headers[headerTimeout] ||
 		decision.Headers[headerMaxRetries] != "0" || decision.Headers[headerAttempt] != "1" {
-		t.Errorf("headers %v", decision.Headers)
+		t.Errorf("headers %v, want a timeout up to 900 ms, no retries and attempt 1", decision.Headers)
 	}
 	mode := response.ModeOverride
 	if mode.GetRequestBodyMode() != modev3.ProcessingMode_NONE ||
 		mode.GetResponseBodyMode() != modev3.ProcessingMode_NONE ||
 		mode.GetResponseHeaderMode() != modev3.ProcessingMode_SEND {
-		t.Errorf("mode %v", mode)
+		t.Errorf("mode override %v, want no bodies", mode)
 	}
 	response = s.report(200, "via_upstream", endpoint)
 	if response.GetResponseHeaders() == nil || retryAllowed(response) {
-		t.Errorf("to the report: %v", response)
+		t.Errorf("response to the report: %v, want response headers and no retry", response)
 	}
 	s.end()
 	h.awaitRelease()
 }
 
-// byTier routes by one header, to a route with its own bounds.
-type byTier struct{ requestmeta.Router }
+// tierRouter routes by one header, to a route with its own bounds.
+type tierRouter struct{ requestmeta.Router }
 
-func (byTier) HasRoutes() bool { return true }
-func (byTier) Route(in *requestmeta.Request) (*requestmeta.Bounds, bool) {
+func (tierRouter) HasRoutes() bool { return true }
+func (tierRouter) Route(in *requestmeta.Request) (*requestmeta.Bounds, bool) {
 	if in.Host != "till.example" || in.Header.Get("X-Tier") != "gold" {
 		return nil, false
 	}
@@ -72,7 +72,7 @@
 		MaxAttempts:      1,
 	}, true
 }
-func (byTier) Tenants() int { return 0 }
+func (tierRouter) Tenants() int { return 0 }
 
 // Routes may match any header that the proxy passes on. A route's bounds apply to its decisions: the attempt timeout
 // and the number of attempts.
@@ -80,7 +80,7 @@
 	var parser *requestmeta.Parser
 	h := start(t, 2, func(server *Options, s *balancer.Settings) {
 		parser = requestmeta.NewParser(s)
-		parser.SetRouter(byTier{})
+		parser.SetRouter(tierRouter{})
 		server.Parser = parser
 	})
 	request := func(alter func(map[string]string)) (*extprocv3.ProcessingResponse, testStream) {
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	if timeout, _ := strconv.Atoi(decision.Headers[headerTimeout]); timeout <= 0 || timeout > 200 {
-		t.Errorf("headers %v, want 200 ms at most", decision.Headers)
+		t.Errorf("headers %v, want a timeout of at most 200 ms", decision.Headers)
 	}
 	if response := s.report(500, "via_upstream", decision.Endpoint); retryAllowed(response) {
 		t.Error("a route of one attempt allows a retry")
@@ -116,7 +116,7 @@
 	} {
 		response, s := request(alter)
 		if r := response.GetImmediateResponse(); r == nil || r.Status.Code != 404 {
-			t.Errorf("of no route: %v", response)
+			t.Errorf("response to a request without a route: %v, want 404", response)
 		}
 		s.end()
 	}
@@ -137,27 +137,27 @@
 		second.send(proxy.RequestHeaders(other, 0))
 		firstDecision, secondDecision := first.decision(), second.decision()
 		if firstDecision.Endpoint == "" || firstDecision.Endpoint != secondDecision.Endpoint {
-			t.Fatalf("forwarded to %q and %q", firstDecision.Endpoint, secondDecision.Endpoint)
+			t.Fatalf("forwarded to %q and %q, want the same endpoint", firstDecision.Endpoint, secondDecision.Endpoint)
 		}
 		first.report(200, "via_upstream", firstDecision.Endpoint)
 		first.end()
 		after := h.open(context.Background())
 		if decision := after.request(req, 0); decision.Endpoint != firstDecision.Endpoint {
-			t.Fatalf("after the outcome: %+v, want %q", decision, firstDecision.Endpoint)
+			t.Fatalf("decision after the first answer: %+v, want endpoint %q", decision, firstDecision.Endpoint)
 		}
 		after.end()
 		second.end()
 		req.Path += "y"
 		reused := h.open(context.Background())
 		if decision := reused.request(req, 0); decision.Code != 422 {
-			t.Fatalf("another request under the key: %+v, want 422", decision)
+			t.Fatalf("decision for another request under the key: %+v, want 422", decision)
 		}
 		reused.end()
 	}
 }
 
-// A failure that proves that the request never ran allows a retry for any class; another does as the class permits.
-// Without a retry the client gets a status that does not promise too much.
+// A failure that proves that the request never ran allows a retry for any class; after other failures the class
+// decides. Without a retry the client gets no status that promises that the request never ran.
 func TestReportedFailureAllowsRetryByClass(t *testing.T) {
 	h := start(t, 4, nil)
 	const (
@@ -184,7 +184,7 @@
 		first := s.request(req, 1)
 		response := s.report(test.code, test.details, first.Endpoint)
 		if retryAllowed(response) != test.retryAllowed {
-			t.Fatalf("%s after %q: %v, want another attempt: %v", test.class, test.details, response, test.retryAllowed)
+			t.Fatalf("%s after %q: response %v, want retry allowed: %v", test.class, test.details, response, test.retryAllowed)
 		}
 		got := 0
 		for _, header := range response.GetResponseHeaders().GetResponse().GetHeaderMutation().GetSetHeaders() {
@@ -205,7 +205,7 @@
 		next := h.open(context.Background())
 		decision := next.request(req, 2)
 		if decision.Endpoint == "" || decision.Endpoint == first.Endpoint || decision.Headers[headerAttempt] != "2" {
-			t.Errorf("%s: the second decision %+v after %s", test.class, decision, first.Endpoint)
+			t.Errorf("%s: second decision %+v after %s, want attempt 2 elsewhere", test.class, decision, first.Endpoint)
 		}
 		next.report(200, "via_upstream", decision.Endpoint)
 		next.end()
@@ -236,12 +236,12 @@
 			}
 		}
 		if response := s.report(500, "via_upstream", served); !retryAllowed(response) {
-			t.Fatalf("to the report: %v", response)
+			t.Fatalf("response to the report: %v, want a retry allowed", response)
 		}
 		s.end()
 		next := h.open(context.Background())
 		if decision := next.request(req, 2); cell(decision.Endpoint) != cell(served) {
-			t.Fatalf("the second decision is of cell %d, the first was served in %d", cell(decision.Endpoint), cell(served))
+			t.Fatalf("the second decision is for cell %d, the first was served in %d", cell(decision.Endpoint), cell(served))
 		}
 		next.end()
 	}
@@ -260,16 +260,16 @@
 		}
 	}
 	h.source.lists <- fronttest.List(remaining...)
-	// The engine takes lists and requests in order.
+	// The engine handles lists and requests in order.
 	second := h.open(context.Background())
 	h.awaitRemoval(first.Endpoint)
 	if decision := second.request(req, 1); decision.Endpoint == first.Endpoint || decision.Code != 409 {
-		t.Errorf("a replay to a server that is gone: %+v", decision)
+		t.Errorf("decision for a repeat whose server was removed: %+v, want 409", decision)
 	}
 	second.end()
 	// The first attempt failed: the retry goes elsewhere.
 	if response := s.report(500, "via_upstream", first.Endpoint); !retryAllowed(response) {
-		t.Fatalf("to the report: %v", response)
+		t.Fatalf("response to the report: %v, want a retry allowed", response)
 	}
 	s.end()
 	h.source.lists <- fronttest.List(remaining[0])
--- a/internal/front/extproc/doc.go
+++ b/internal/front/extproc/doc.go
@@ -3,8 +3,8 @@
 // A proxy opens one stream per request and sends the request's headers. It gets the endpoint to forward the request
 // to, or the response to give to the client at once. It carries the attempt out itself and reports the headers of the
 // endpoint's answer on the same stream. The decision module decides as for the other fronts; package routing keeps
-// track of the streams, and of what may be answered again for the same request.
+// track of the streams, and of the decisions that may be repeated for the same request.
 //
-// Each stream has a goroutine of the gRPC server, which parses and builds messages. Everything shared lives on the
+// Each stream has a goroutine of the gRPC server, which parses and builds messages. Shared state is owned by the
 // engine's goroutine (type host).
 package extproc
--- a/internal/front/extproc/harness_test.go
+++ b/internal/front/extproc/harness_test.go
@@ -63,7 +63,7 @@
 	lists chan engine.List
 }
 
-// Watch passes on the lists of the test.
+// Watch delivers the lists that the test sends.
 func (s *source) Watch(
 	ctx context.Context, after *uint64, update func(balancer.ListKind, engine.List),
 ) (*uint64, error) {
@@ -95,7 +95,7 @@
 	lastID  int // of a request
 }
 
-// start runs a processor with n servers until the test ends. Then no goroutine of it may remain.
+// start runs a processor with n servers until the test ends. The test fails if a goroutine of it remains.
 func start(t *testing.T, n int, alter func(*Options, *balancer.Settings)) *harness {
 	t.Helper()
 	settings := balancer.Settings{
@@ -147,7 +147,7 @@
 	t.Cleanup(func() {
 		h.stop()
 		if err := <-h.served; err != nil {
-			t.Errorf("the processor ended with %v", err)
+			t.Errorf("Serve returned %v", err)
 		}
 	})
 	if h.proxy, err = proxy.Dial(h.address, 2); err != nil {
@@ -246,7 +246,7 @@
 	s.t.Helper()
 	s.closeSend()
 	if m, err := s.Recv(); !errors.Is(err, io.EOF) {
-		s.t.Errorf("at the stream's end: %v, %v", m, err)
+		s.t.Errorf("at the end of the stream: message %v, error %v, want io.EOF", m, err)
 	}
 }
 
@@ -262,7 +262,7 @@
 	}
 }
 
-// awaitRemoval waits until the engine no longer knows a server.
+// awaitRemoval waits until the engine has removed a server.
 func (h *harness) awaitRemoval(address string) {
 	h.t.Helper()
 	wait.Until(h.t, "the removal of "+address, func() bool {
--- a/internal/front/extproc/host.go
+++ b/internal/front/extproc/host.go
@@ -10,31 +10,31 @@
 	"pinedale/internal/routing"
 )
 
-// host joins the routing ledger to the engine: it runs the ledger's rounds as requests of the engine whose attempts
-// the callers carry out. All its methods run on the engine's goroutine.
+// host connects the routing ledger to the engine: it submits the ledger's rounds to the engine as requests whose
+// attempts the callers carry out. All its methods run on the engine's goroutine.
 type host struct {
-	engine  *engine.Engine
-	ledger  *routing.Ledger
-	rounds  map[uint64]*round
-	streams map[routing.StreamID]*pendingStream
-	ticking bool // the next tick is scheduled
+	engine        *engine.Engine
+	ledger        *routing.Ledger
+	rounds        map[uint64]*round
+	streams       map[routing.StreamID]*pendingStream
+	tickScheduled bool // the next tick is scheduled
 }
 
-// round is a round of the ledger as a request of the engine. It is that request's carrier.
+// round is a round of the ledger that was submitted to the engine as a request. It is that request's carrier.
 type round struct {
 	host         *host
 	id           uint64
 	request      engine.Request
 	attempts     []*engine.Attempt
 	openAttempts int  // not completed
-	finished     bool // the module has given its final answer, or needs to give none
+	finished     bool // the module has given its final answer, or none is needed
 }
 
-// pendingStream is the part of a stream that the host knows.
+// pendingStream is the part of a stream that the host uses.
 type pendingStream struct {
 	id        routing.StreamID
-	responses chan routing.Response // holds one: a decision, or the reply to a report
-	forwarded *forwardTarget        // of the decision; belongs to the stream's goroutine until it reports
+	responses chan routing.Response // capacity 1: a decision, or the reply to a report
+	forwarded *forwardTarget        // target of the decision; owned by the stream's goroutine until it reports
 }
 
 // forwardTarget is what the ledger keeps of an attempt for as long as it may be forwarded again. It is small, since
@@ -55,20 +55,20 @@
 func (h *host) handleRequest(now routing.Micros, s *pendingStream, req routing.Request) {
 	h.streams[s.id] = s
 	h.ledger.HandleRequest(now, req)
-	if !h.ticking {
-		h.ticking = true
+	if !h.tickScheduled {
+		h.tickScheduled = true
 		h.scheduleTick()
 	}
 }
 
-// scheduleTick has the ledger check its timeouts, again and again for as long as it holds anything.
+// scheduleTick has the ledger check its timeouts periodically until the ledger is empty.
 func (h *host) scheduleTick() {
 	h.engine.After(time.Duration(routing.OfferTimeout/2)*time.Microsecond, func(now routing.Micros) {
 		h.ledger.Tick(now)
 		if streams, rounds, entries := h.ledger.Counts(); streams+rounds+entries > 0 {
 			h.scheduleTick()
 		} else {
-			h.ticking = false
+			h.tickScheduled = false
 		}
 	})
 }
@@ -93,7 +93,7 @@
 	return h.ledger.HandleReport(s.id, r.outcome)
 }
 
-// StartRound submits a round to the engine. It implements routing.Actions, as the four methods after it.
+// StartRound submits a round to the engine. It and the four methods below implement routing.Actions.
 func (h *host) StartRound(id uint64, key string, req balancer.Request) {
 	r := &round{host: h, id: id}
 	r.request.Carrier, r.request.Respond, r.request.Key = r, r.respond, key
@@ -133,7 +133,7 @@
 	h.streams[id].responses <- response
 }
 
-// Send handles the module's decision to send an attempt. It implements engine.Carrier, as Cancel.
+// Send handles the module's decision to send an attempt. Send and Cancel implement engine.Carrier.
 func (r *round) Send(a *engine.Attempt) {
 	r.attempts = append(r.attempts, a)
 	r.openAttempts++
@@ -142,13 +142,13 @@
 }
 
 // Cancel handles that the module no longer waits for an attempt. It is called from within the module, which must not be
-// called back, so the ledger learns of it later.
+// called back, so the ledger is notified later.
 func (r *round) Cancel(a *engine.Attempt) {
 	index := slices.Index(r.attempts, a)
 	r.host.engine.Defer(func(now routing.Micros) { r.host.ledger.AttemptCancelled(now, r.id, index) })
 }
 
-// respond handles the module's final answer. The ledger knows already of an attempt that succeeded.
+// respond handles the module's final answer. The ledger has already been notified of an attempt that succeeded.
 func (r *round) respond(response engine.Response) {
 	r.finished = true
 	now := r.host.engine.Now()
--- a/internal/front/extproc/memory_test.go
+++ b/internal/front/extproc/memory_test.go
@@ -8,7 +8,7 @@
 	"pinedale/balancer"
 )
 
-// An entry of a request with a key takes no more memory than the limit of entries assumes.
+// A ledger entry of a request with a key takes no more memory than the limit of entries assumes.
 func TestEntryStaysWithinMemoryBudget(t *testing.T) {
 	h := start(t, 2, func(o *Options, s *balancer.Settings) {
 		o.MaxEntries = 20_000
@@ -33,15 +33,15 @@
 			s.end()
 		}
 	}
-	run(500) // allocates all that is allocated once
+	run(500) // makes the allocations that happen once
 	before := memory()
 	run(requests)
 	if _, _, entries := h.server.Counts(); entries < requests {
-		t.Fatalf("%d entries, want at least %d", entries, requests)
+		t.Fatalf("the ledger has %d entries, want at least %d", entries, requests)
 	}
 	entryBytes := (memory() - before) / requests
-	t.Logf("%d bytes an entry", entryBytes)
+	t.Logf("%d bytes per entry", entryBytes)
 	if entryBytes > 1<<10 {
-		t.Errorf("an entry takes %d bytes, the limit assumes %d", entryBytes, 1<<10)
+		t.Errorf("an entry takes %d bytes, want at most %d", entryBytes, 1<<10)
 	}
 }
--- a/internal/front/extproc/protocol_test.go
+++ b/internal/front/extproc/protocol_test.go
@@ -24,7 +24,7 @@
 	"pinedale/internal/standin/wait"
 )
 
-// A malformed head gets the client's error at once, as through the HTTP front, and reaches no server.
+// A request with malformed headers gets the same client error as on the HTTP front, and reaches no server.
 func TestMalformedHeadIsRejected(t *testing.T) {
 	h := start(t, 1, nil)
 	for _, c := range []struct {
@@ -36,24 +36,24 @@
 		{"no id", func(req *proxy.Request) { delete(req.Header, "x-correlation-id") }, 400, "X-Correlation-Id"},
 		{"no class", func(req *proxy.Request) { delete(req.Header, "x-service-class") }, 400, "X-Service-Class"},
 		{"no key", func(req *proxy.Request) { delete(req.Header, "idempotency-key") }, 400, "Idempotency-Key"},
-		{"an endless key", func(req *proxy.Request) { req.Header["idempotency-key"] = strings.Repeat("k", 300) },
+		{"a key that is too long", func(req *proxy.Request) { req.Header["idempotency-key"] = strings.Repeat("k", 300) },
 			400, "Idempotency-Key"},
 		{"no time left", func(req *proxy.Request) { delete(req.Header, "x-time-left-ms") }, 400, "X-Time-Left-Ms"},
 		{"wrong method", func(req *proxy.Request) { req.Method = "PUT" }, 405, "POST"},
 		{"no method", func(req *proxy.Request) { req.Method = "" }, 400, ":method"},
 		{"another path", func(req *proxy.Request) { req.Path = "/read/x" }, 400, "path"},
 		{"a query only", func(req *proxy.Request) { req.Path = "?pay" }, 400, "path"},
-		{"a length that is none", func(req *proxy.Request) { req.Body, req.Header["content-length"] = "", "x" },
+		{"an invalid length", func(req *proxy.Request) { req.Body, req.Header["content-length"] = "", "x" },
 			413, "content-length"},
 		{"a body too large", func(req *proxy.Request) { req.Body = strings.Repeat("x", 65537) }, 413, "65536"},
-		{"an attempt that is none", func(req *proxy.Request) { req.Header["x-envoy-attempt-count"] = "0" },
+		{"an invalid attempt count", func(req *proxy.Request) { req.Header["x-envoy-attempt-count"] = "0" },
 			400, "x-envoy-attempt-count"},
 	} {
 		req := h.request("pay")
 		c.alter(&req)
 		s := h.open(context.Background())
 		if decision := s.request(req, 0); decision.Code != c.code || !strings.Contains(decision.Body, c.text) {
-			t.Errorf("%s: %+v, want %d with %q", c.name, decision, c.code, c.text)
+			t.Errorf("%s: decision %+v, want status %d with %q in the body", c.name, decision, c.code, c.text)
 		}
 		s.end()
 	}
@@ -63,7 +63,7 @@
 	s := h.open(context.Background())
 	s.send(doubled)
 	if decision := s.decision(); decision.Code != 400 || !strings.Contains(decision.Body, "2 times") {
-		t.Errorf("a doubled header: %+v", decision)
+		t.Errorf("a duplicate key header: decision %+v, want status 400", decision)
 	}
 	s.end()
 	headers.Headers[len(headers.Headers)-1] = &corev3.HeaderValue{Key: ":path", Value: "/pay/y"}
@@ -71,11 +71,11 @@
 	s = h.open(context.Background())
 	s.send(doubled)
 	if decision := s.decision(); decision.Code != 400 || !strings.Contains(decision.Body, ":path") {
-		t.Errorf("a doubled path: %+v", decision)
+		t.Errorf("a duplicate :path: decision %+v, want status 400", decision)
 	}
 	s.end()
 	if n := h.openCount(); n != 0 {
-		t.Errorf("%d streams and rounds are open", n)
+		t.Errorf("%d streams and rounds are open, want 0", n)
 	}
 }
 
@@ -126,7 +126,7 @@
 		}
 	}
 	if m := other.report(200, "via_upstream", decision.Endpoint); m.GetResponseHeaders() == nil {
-		t.Errorf("the other stream: %v", m)
+		t.Errorf("response to the report on the other stream: %v, want response headers", m)
 	}
 	other.end()
 	h.awaitRelease()
@@ -164,20 +164,20 @@
 			piece := &extprocv3.HttpBody{Body: []byte("piece")}
 			out := phase(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{RequestBody: piece}})
 			if out.GetRequestBody() == nil || (streamedBody(out.GetRequestBody()) == "piece") != duplex {
-				t.Errorf("duplex %v: to a piece of the body: %v", duplex, out)
+				t.Errorf("duplex %v: response to a chunk of the request body: %v", duplex, out)
 			}
 			out = phase(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestTrailers{}})
 			if out.GetRequestTrailers() == nil {
-				t.Errorf("to the trailers: %v", out)
+				t.Errorf("response to the request trailers: %v", out)
 			}
 			s.report(200, "via_upstream", "")
 			out = phase(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseBody{ResponseBody: piece}})
 			if out.GetResponseBody() == nil || (streamedBody(out.GetResponseBody()) == "piece") != duplex {
-				t.Errorf("duplex %v: to a piece of the answer: %v", duplex, out)
+				t.Errorf("duplex %v: response to a chunk of the answer's body: %v", duplex, out)
 			}
 			out = phase(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseTrailers{}})
 			if out.GetResponseTrailers() == nil {
-				t.Errorf("to the answer's trailers: %v", out)
+				t.Errorf("response to the answer's trailers: %v", out)
 			}
 			s.end()
 		})
@@ -233,8 +233,7 @@
 	})
 }
 
-// A truncated message ends its own stream only, whether the caller ends the stream there or just stops. So does
-// garbage in place of a message.
+// A truncated or malformed message ends only its own stream, whether or not the caller ends the stream after it.
 func TestTruncatedMessageEndsItsStreamOnly(t *testing.T) {
 	h := start(t, 1, func(o *Options, _ *balancer.Settings) { o.DrainTimeout = -streamGrace + time.Second })
 	c := h.dialRaw()
@@ -263,7 +262,7 @@
 	for len(ended) < 4 {
 		next, err := c.framer.ReadFrame()
 		if err != nil {
-			t.Fatalf("after the end of %v: %v", ended, err)
+			t.Fatalf("reading frames, streams %v have ended: %v", ended, err)
 		}
 		switch frame := next.(type) {
 		case *http2.SettingsFrame:
@@ -282,12 +281,12 @@
 	}
 	s := h.open(context.Background())
 	if decision := s.request(h.request("pay"), 0); decision.Endpoint == "" {
-		t.Errorf("another stream: %+v", decision)
+		t.Errorf("decision on another stream: %+v, want an endpoint", decision)
 	}
 	s.end()
 }
 
-// A caller that never reads gets no more than its flow-control window. Others are served.
+// A caller that never reads is sent no more than its flow-control window. Other callers are served.
 func TestCallerThatNeverReadsDoesNotBlockOthers(t *testing.T) {
 	h := start(t, 2, nil)
 	c := h.dialRaw()
@@ -312,7 +311,7 @@
 		s := h.open(context.Background())
 		decision := s.request(h.request("pay"), 0)
 		if decision.Endpoint == "" {
-			t.Fatalf("beside it: %+v", decision)
+			t.Fatalf("decision for another caller: %+v, want an endpoint", decision)
 		}
 		s.report(200, "via_upstream", decision.Endpoint)
 		s.end()
@@ -321,7 +320,7 @@
 	wait.Until(t, "its streams' end", func() bool { return h.server.streams.Load() == 0 && h.openCount() == 0 })
 }
 
-// Any head gives an error or a request, and never a panic.
+// Reading arbitrary headers gives an error or a request, and never panics.
 func FuzzHead(f *testing.F) {
 	for _, class := range []string{"read", "pay"} {
 		m, _ := marshal(proxy.RequestHeaders(proxy.Request{Method: "GET", Path: "/" + class + "/x", Header: map[string]string{
@@ -338,15 +337,15 @@
 		}
 		head, err := readHead(in.GetRequestHeaders(), true)
 		if err == nil && (head.method == "" || head.path == "") {
-			t.Error("a head without method or path")
+			t.Error("a head without method or path is accepted")
 		}
 		head.fingerprint()
 		r := readReport(in, []string{"queue"})
 		if r.outcome.Status == balancer.OK && r.code != 200 {
-			t.Errorf("served with %d", r.code)
+			t.Errorf("an answer with status %d counts as OK", r.code)
 		}
 		if r.outcome.Status == balancer.Full && r.code != 503 && r.code != 504 {
-			t.Errorf("rejected with %d", r.code)
+			t.Errorf("an answer with status %d counts as Full", r.code)
 		}
 	})
 }
--- a/internal/front/extproc/report.go
+++ b/internal/front/extproc/report.go
@@ -14,7 +14,7 @@
 
 // Headers of an endpoint's answer.
 const (
-	headerServedBy    = "x-gateway-destination-endpoint-served" // see headerDestination; also in the metadata
+	headerServedBy    = "x-gateway-destination-endpoint-served" // counterpart of headerDestination; also in metadata
 	headerLoad        = "x-backend-load"
 	headerUnprocessed = "x-unprocessed" // "1": the endpoint never ran the request
 )
@@ -34,7 +34,7 @@
 	detailsResetPrefix    = "upstream_reset_before_response_started{"
 )
 
-// report is what a caller reports of an answer.
+// report is a caller's report of an endpoint's answer.
 type report struct {
 	outcome  routing.Outcome
 	code     int    // HTTP status
@@ -52,7 +52,7 @@
 		}
 		switch h.Key {
 		case ":status":
-			r.code, _ = strconv.Atoi(headerValue(h)) // 0 is no status, and counts as an error
+			r.code, _ = strconv.Atoi(headerValue(h)) // an invalid status gives 0, which counts as an error
 		case headerUnprocessed:
 			unprocessed = headerValue(h) == "1"
 		case headerLoad:
@@ -82,9 +82,9 @@
 	return r
 }
 
-// localReplyStatus reads Envoy's details of an answer. local says that the proxy made the answer itself. Of the
-// reasons of a reset, those that name the connection's failure prove that no byte of the request was written: the
-// connection pool gives them before a stream exists.
+// localReplyStatus interprets Envoy's response code details. local reports whether the proxy generated the answer
+// itself. A reset reason that names a connection failure proves that no byte of the request was written: the connection
+// pool reports it before a stream exists.
 func localReplyStatus(details string) (status balancer.Status, local bool) {
 	switch details {
 	case "", detailsUpstream:
@@ -108,8 +108,8 @@
 	return balancer.Reset, true
 }
 
-// replacementStatus returns the HTTP status that replaces an answer's own, 0 for none: 503 and 429 tell a client that
-// a retry is harmless, which is true only if the request never ran.
+// replacementStatus returns the HTTP status that replaces an answer's own, 0 for none: 503 and 429 signal to a client
+// that a retry is safe, which is true only if the request never ran.
 func (r *report) replacementStatus() int {
 	switch r.outcome.Status {
 	case balancer.Full, balancer.ConnectFailed, balancer.NotSent:
--- a/internal/front/extproc/request.go
+++ b/internal/front/extproc/request.go
@@ -16,7 +16,7 @@
 // Headers of a request, besides those of package requestmeta.
 const (
 	headerContentLength = "content-length"
-	headerAttemptCount  = "x-envoy-attempt-count" // by Envoy's router, from 1
+	headerAttemptCount  = "x-envoy-attempt-count" // set by Envoy's router, from 1
 )
 
 // requestHeaders are the headers of a request that are always read, by their lower-case names.
@@ -31,13 +31,13 @@
 	}
 }
 
-// requestHead is what is read of a request's headers.
+// requestHead holds the headers of a request that are used here.
 type requestHead struct {
 	method, path  string
 	host          string
 	header        http.Header
-	contentLength string // as stated, "" if it is not
-	attempt       int    // the caller's count, from 1; 0 if it does not count
+	contentLength string // as sent, "" if absent
+	attempt       int    // the caller's attempt number, from 1; 0 if absent
 }
 
 // headerValue returns the value of a header, in either of the forms that proxies send it.
@@ -61,7 +61,7 @@
 		}
 	}
 	if head.method == "" || head.path == "" {
-		return head, requestmeta.BadRequest(":method or :path is missing")
+		return head, requestmeta.BadRequest("missing :method or :path")
 	}
 	return head, head.checkContentLength()
 }
@@ -80,7 +80,8 @@
 	case headerAttemptCount:
 		n, err := strconv.Atoi(headerValue(h))
 		if err != nil || n < 1 || r.attempt != 0 {
-			return requestmeta.BadRequest("%s: %q is not one whole number from 1", headerAttemptCount, headerValue(h))
+			return requestmeta.BadRequest("%s: %q is not a positive integer, or the header is repeated",
+				headerAttemptCount, headerValue(h))
 		}
 		r.attempt = n
 		return nil
@@ -98,7 +99,7 @@
 // setOnce sets a field from a header that must not be repeated.
 func setOnce(field *string, h *corev3.HeaderValue) error {
 	if *field != "" {
-		return requestmeta.BadRequest("%s is there twice", h.Key)
+		return requestmeta.BadRequest("duplicate header %s", h.Key)
 	}
 	*field = headerValue(h)
 	return nil
@@ -114,15 +115,15 @@
 	}
 	return &requestmeta.Error{
 		Code: http.StatusRequestEntityTooLarge,
-		Reason: "content-length: " + strconv.Quote(r.contentLength) + " is not a whole number up to " +
+		Reason: "content-length: " + strconv.Quote(r.contentLength) + " is not an integer from 0 to " +
 			strconv.Itoa(httpmsg.MaxBodyBytes),
 	}
 }
 
 var fingerprintSeed = maphash.MakeSeed()
 
-// fingerprint is a hash of all in the head that must be equal if the same effect is requested again. Bodies are not
-// seen.
+// fingerprint returns a hash of the fields that must be equal when a request is repeated. It does not cover bodies,
+// which the proxy does not send.
 func (r *requestHead) fingerprint() uint64 {
 	var hash maphash.Hash
 	hash.SetSeed(fingerprintSeed)
--- a/internal/front/extproc/response.go
+++ b/internal/front/extproc/response.go
@@ -16,8 +16,8 @@
 
 // Headers that a decision sets on a request.
 const (
-	// The endpoint-picker convention of the Kubernetes Gateway API inference extension. The header is repeated as
-	// dynamic metadata.
+	// Endpoint picker protocol of the Kubernetes Gateway API inference extension. The address is sent both in this
+	// header and as dynamic metadata.
 	headerDestination = "x-gateway-destination-endpoint"
 	metadataNamespace = "envoy.lb"
 
@@ -34,7 +34,7 @@
 const headerRetryAllowed = "x-pinedale-retry"
 
 const (
-	headerRetryAfter = "retry-after" // seconds, with milliseconds
+	headerRetryAfter = "retry-after" // in seconds, with three decimals
 	microsPerSecond  = 1e6
 )
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// skipBodies is the mode in which the proxy sends nothing more but the headers of the answer.
+// skipBodies has the proxy send nothing after the request headers but the headers of the answer.
 var skipBodies = &modev3.ProcessingMode{
 	RequestHeaderMode:   modev3.ProcessingMode_SEND,
 	ResponseHeaderMode:  modev3.ProcessingMode_SEND,
@@ -129,8 +129,8 @@
 	}}
 }
 
-// bodyResponse lets a piece of a body through. A proxy that sends bodies although skipBodies was set waits for it. In
-// full duplex mode the proxy passes on only what comes back.
+// bodyResponse passes a chunk of a body through unchanged. A proxy that sends bodies in spite of skipBodies waits for
+// this response. In full duplex mode the proxy forwards only the chunks that it receives back.
 func bodyResponse(in *extprocv3.HttpBody, duplex bool) *extprocv3.BodyResponse {
 	out := &extprocv3.BodyResponse{Response: &extprocv3.CommonResponse{}}
 	if duplex {
@@ -141,14 +141,14 @@
 	return out
 }
 
-// requestBodyResponse is bodyResponse to a piece of a request.
+// requestBodyResponse passes a chunk of a request's body through.
 func requestBodyResponse(in *extprocv3.HttpBody, duplex bool) *extprocv3.ProcessingResponse {
 	return &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{
 		RequestBody: bodyResponse(in, duplex),
 	}}
 }
 
-// responseBodyResponse is bodyResponse to a piece of an answer.
+// responseBodyResponse passes a chunk of an answer's body through.
 func responseBodyResponse(in *extprocv3.HttpBody, duplex bool) *extprocv3.ProcessingResponse {
 	return &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseBody{
 		ResponseBody: bodyResponse(in, duplex),
--- a/internal/front/extproc/server.go
+++ b/internal/front/extproc/server.go
@@ -26,19 +26,19 @@
 )
 
 const (
-	// backlogRetryAfter is the Retry-After of a request that is rejected since too many wait for the engine.
+	// backlogRetryAfter is the Retry-After of a request that is rejected because too many wait for the engine.
 	backlogRetryAfter routing.Micros = 1_000_000
 
 	// maxMessageBytes leaves space for a request's head, its attributes and metadata.
 	maxMessageBytes = 4 * httpmsg.MaxHeaderBytes
 
-	// A connection that answers no ping is dead, and so are its streams: their requests must not stay reserved for
-	// callers that no longer exist.
+	// A connection that answers no ping is closed, which ends its streams: requests must not stay reserved for callers
+	// that no longer exist.
 	pingInterval = 10 * time.Second
 	pingTimeout  = 5 * time.Second
 
-	// minCallerPingInterval is the least interval at which callers may send pings. Envoy's usual interval is 30 s; a
-	// caller that pings each second is no attack.
+	// minCallerPingInterval is the minimum interval at which callers may send pings. Envoy's usual interval is 30 s;
+	// one ping a second is not yet treated as an attack.
 	minCallerPingInterval = time.Second
 
 	// streamGrace is how long a stream may stay open beyond the longest deadline of a class. A proxy ends a stream
@@ -46,16 +46,16 @@
 	streamGrace = 5 * time.Second
 )
 
-// Options configure a Server and bound what callers may hold.
+// Options configure a Server and limit the resources that callers may use.
 type Options struct {
 	MaxStreams          int                 // max open streams over all connections
 	MaxBacklog          int                 // max requests that wait for the engine; more are rejected at once
 	CallersRetry        bool                // callers request another decision after a reported failure
 	MaxEntries          int                 // max entries of the routing ledger
 	LoadFields          []string            // names of the load report's fields
-	Parser              *requestmeta.Parser // nil for the one of the engine's settings
+	Parser              *requestmeta.Parser // if nil, one is made from the engine's settings
 	TLS                 *tls.Config         // nil for plain text
-	MaxTLSConnectionAge time.Duration       // max age of a TLS connection, so that none outlives its certificate by more
+	MaxTLSConnectionAge time.Duration       // of TLS connections: bounds how long one outlives its certificate
 	DrainTimeout        time.Duration       // longest deadline of a class: open requests finish within it at shutdown
 	Log                 *slog.Logger
 }
@@ -63,18 +63,18 @@
 // Server is the front. Make one with New.
 type Server struct {
 	engine     *engine.Engine
-	host       *host // on the engine's goroutine
+	host       *host // used on the engine's goroutine only
 	parser     *requestmeta.Parser
 	opts       Options
 	grpc       *grpc.Server
 	health     *health.Server
 	streams    atomic.Int64  // open
 	backlog    atomic.Int64  // requests that wait for the engine
-	lastStream atomic.Uint64 // routing.StreamID given last
+	lastStream atomic.Uint64 // routing.StreamID that was assigned last
 	ended      chan struct{} // closed when Serve returns
 }
 
-// New returns a front of the engine.
+// New returns a front that passes requests to the engine.
 func New(e *engine.Engine, o Options) *Server {
 	settings := e.Settings()
 	if o.Parser == nil {
@@ -107,7 +107,7 @@
 	pings := keepalive.ServerParameters{Time: pingInterval, Timeout: pingTimeout}
 	var options []grpc.ServerOption
 	if s.opts.TLS != nil {
-		pings.MaxConnectionAge = s.opts.MaxTLSConnectionAge // gRPC spreads it by a tenth; open streams continue
+		pings.MaxConnectionAge = s.opts.MaxTLSConnectionAge // gRPC adds up to 10% of jitter; open streams continue
 		options = append(options, grpc.Creds(credentials.NewTLS(s.opts.TLS)))
 	}
 	enforcement := keepalive.EnforcementPolicy{MinTime: minCallerPingInterval, PermitWithoutStream: true}
@@ -119,17 +119,17 @@
 		grpc.KeepaliveEnforcementPolicy(enforcement))
 }
 
-// SetClasses replaces the classes. The numbers of the classes before stay valid. It must be called on the engine's
+// SetClasses replaces the classes. The indices of the previous classes stay valid. It must be called on the engine's
 // goroutine.
 func (s *Server) SetClasses(all []balancer.Class) { s.host.ledger.SetClasses(all) }
 
-// setHealth sets what the health check answers.
+// setHealth sets the status that health checks report.
 func (s *Server) setHealth(servingStatus healthv1.HealthCheckResponse_ServingStatus) {
 	s.health.SetServingStatus("", servingStatus)
 	s.health.SetServingStatus(extprocv3.ExternalProcessor_ServiceDesc.ServiceName, servingStatus)
 }
 
-// admit rejects a stream over the limit before anything is spent on it, and sets the deadline of the others.
+// admit rejects a stream over the limit before resources are spent on it, and sets the deadline of the others.
 func (s *Server) admit(ctx context.Context, info *tap.Info) (context.Context, error) {
 	if info.FullMethodName != extprocv3.ExternalProcessor_Process_FullMethodName {
 		return ctx, nil
@@ -144,7 +144,7 @@
 
 // tooManyStreams returns the status of a stream over the limit.
 func (s *Server) tooManyStreams() error {
-	return status.Errorf(codes.ResourceExhausted, "%d streams are open, and no more may be", s.opts.MaxStreams)
+	return status.Errorf(codes.ResourceExhausted, "limit of %d open streams reached", s.opts.MaxStreams)
 }
 
 // Process handles one stream: one request of a caller. It implements extprocv3.ExternalProcessorServer.
--- a/internal/front/extproc/stream.go
+++ b/internal/front/extproc/stream.go
@@ -18,22 +18,22 @@
 	"pinedale/internal/routing"
 )
 
-// stream is one stream of a caller: one request and the headers of its answer, and whatever else of them the proxy
-// sends. It belongs to the goroutine that runs it.
+// stream handles one stream of a caller: the headers of one request and of its answer, and any bodies and trailers that
+// the proxy sends. It is owned by the goroutine that runs it.
 type stream struct {
 	server     *Server
 	connection extprocv3.ExternalProcessor_ProcessServer
 	pending    pendingStream
 
-	started             bool // the request's headers have come
-	submitted           bool // the host knows of the stream
+	started             bool // the request's headers were received
+	submitted           bool // the request was passed to the host
 	undelivered         bool // a decision was or will be made that never reaches the caller
-	answeredImmediately bool // the proxy answers the client itself, and need not report
-	reported            bool // the response's headers have come
+	answeredImmediately bool // the proxy answers the client without an endpoint: its response headers are no report
+	reported            bool // the answer's headers were received
 
-	// Phases after the headers. In full duplex mode the proxy passes on only the bodies that come back to it.
+	// State of the bodies. In full duplex mode the proxy forwards only the body chunks that it receives back.
 	duplexRequest, duplexResponse bool
-	requestEnded, responseEnded   bool // no more of that message may come
+	requestEnded, responseEnded   bool // no further part of that message may follow
 }
 
 // run answers the stream's messages until it ends.
@@ -46,7 +46,7 @@
 			return err
 		}
 		if in.ObservabilityMode {
-			return invalidMessage("observability_mode", "a verdict can't be given where no response is read")
+			return invalidMessage("observability_mode", "not supported, since the proxy reads no decisions in this mode")
 		}
 		if first {
 			config := in.GetProtocolConfig()
@@ -72,7 +72,7 @@
 	}
 }
 
-// invalidMessage is the status of a stream whose caller violates the protocol.
+// invalidMessage returns the status that ends a stream whose caller violates the protocol.
 func invalidMessage(field, reason string) error {
 	return status.Errorf(codes.InvalidArgument, "%s: %s", field, reason)
 }
@@ -82,45 +82,46 @@
 	switch m := in.Request.(type) {
 	case *extprocv3.ProcessingRequest_RequestHeaders:
 		if s.started {
-			return nil, invalidMessage("request_headers", "come twice on one stream")
+			return nil, invalidMessage("request_headers", "received twice on one stream")
 		}
 		s.started, s.requestEnded = true, m.RequestHeaders.GetEndOfStream()
 		return s.handleRequestHeaders(m.RequestHeaders)
 	case *extprocv3.ProcessingRequest_ResponseHeaders:
 		if !s.started {
-			return nil, invalidMessage("response_headers", "come before request_headers")
+			return nil, invalidMessage("response_headers", "received before request_headers")
 		}
 		if s.reported {
-			return nil, invalidMessage("response_headers", "come twice on one stream")
+			return nil, invalidMessage("response_headers", "received twice on one stream")
 		}
 		s.reported, s.responseEnded = true, m.ResponseHeaders.GetEndOfStream()
 		return s.handleResponseHeaders(in)
 	case *extprocv3.ProcessingRequest_RequestBody:
 		if !s.started || s.requestEnded {
-			return nil, invalidMessage("request_body", "comes before request_headers or after the request's end")
+			return nil, invalidMessage("request_body", "received before request_headers or after the end of the request")
 		}
 		s.requestEnded = m.RequestBody.GetEndOfStream()
 		return requestBodyResponse(m.RequestBody, s.duplexRequest), nil
 	case *extprocv3.ProcessingRequest_ResponseBody:
 		if !s.reported || s.responseEnded {
-			return nil, invalidMessage("response_body", "comes before response_headers or after the answer's end")
+			return nil, invalidMessage("response_body", "received before response_headers or after the end of the response")
 		}
 		s.responseEnded = m.ResponseBody.GetEndOfStream()
 		return responseBodyResponse(m.ResponseBody, s.duplexResponse), nil
 	case *extprocv3.ProcessingRequest_RequestTrailers:
 		if !s.started || s.requestEnded {
-			return nil, invalidMessage("request_trailers", "come before request_headers or after the request's end")
+			return nil, invalidMessage("request_trailers", "received before request_headers or after the end of the request")
 		}
 		s.requestEnded = true
 		return requestTrailersResponse(), nil
 	case *extprocv3.ProcessingRequest_ResponseTrailers:
 		if !s.reported || s.responseEnded {
-			return nil, invalidMessage("response_trailers", "come before response_headers or after the answer's end")
+			return nil, invalidMessage("response_trailers",
+				"received before response_headers or after the end of the response")
 		}
 		s.responseEnded = true
 		return responseTrailersResponse(), nil
 	}
-	return nil, invalidMessage("request", "is none of the phases of a request")
+	return nil, invalidMessage("request", "unknown message type, want headers, body or trailers")
 }
 
 // handleRequestHeaders requests a decision and waits for it.
@@ -163,7 +164,7 @@
 	}, nil
 }
 
-// submit passes a request to the host. It returns false if too many wait for the engine.
+// submit passes a request to the host. It returns false if too many requests wait for the engine.
 func (s *stream) submit(req routing.Request) bool {
 	server := s.server
 	if server.backlog.Add(1) > int64(server.opts.MaxBacklog) {
@@ -176,7 +177,7 @@
 	ctx := s.connection.Context()
 	s.submitted = server.engine.TryPost(func(now balancer.Micros) {
 		server.backlog.Add(-1)
-		if ctx.Err() == nil { // else the caller has disconnected: no decision is made for it
+		if ctx.Err() == nil { // otherwise the caller has disconnected and needs no decision
 			server.host.handleRequest(now, &s.pending, req)
 		}
 	})
@@ -204,7 +205,7 @@
 			if !target.endpoint.Closed() {
 				return s.forward(target, decision.Attempt), nil
 			}
-			// The endpoint is draining or gone since the decision was made: another one follows.
+			// The endpoint was removed or began to drain after the decision: the ledger makes another one.
 			s.server.engine.Post(func(balancer.Micros) { s.server.host.ledger.ForwardDiscarded(s.pending.id) })
 		case <-ctx.Done():
 			s.undelivered = true
@@ -219,21 +220,22 @@
 	return forwardResponse(target.endpoint.Address, attempt, remaining)
 }
 
-// answerImmediately notes that the proxy answers the client itself.
+// answerImmediately records that the proxy answers the client without an endpoint.
 func (s *stream) answerImmediately(out *extprocv3.ProcessingResponse) *extprocv3.ProcessingResponse {
 	s.answeredImmediately = true
 	return out
 }
 
-// handleResponseHeaders passes the report on and returns what is to be done with the endpoint's answer.
+// handleResponseHeaders passes the report to the host and returns the response that lets the endpoint's answer through
+// or replaces it.
 func (s *stream) handleResponseHeaders(in *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
 	if s.answeredImmediately {
-		return passThroughResponse(false, 0), nil // our own answer, on its way to the client
+		return passThroughResponse(false, 0), nil // the immediate response itself, on its way to the client
 	}
 	server := s.server
 	r := readReport(in, server.opts.LoadFields)
 	if r.outcome.Status == balancer.OK {
-		// The client need not wait until the engine has learned of its answer.
+		// The client's answer is not delayed until the engine has handled the report.
 		server.engine.Post(func(balancer.Micros) { server.host.handleReport(&s.pending, r) })
 		return passThroughResponse(false, 0), nil
 	}
@@ -251,7 +253,7 @@
 	case <-ctx.Done():
 		return nil, contextError(ctx)
 	case <-server.ended:
-		return nil, status.Error(codes.Unavailable, "the processor has ended")
+		return nil, status.Error(codes.Unavailable, "external processor has shut down")
 	}
 }
 
--- a/internal/front/extproc/stream_test.go
+++ b/internal/front/extproc/stream_test.go
@@ -36,24 +36,24 @@
 		h.awaitRelease()
 	}
 	if _, _, entries := h.server.Counts(); entries != 0 {
-		t.Errorf("%d entries of requests that were never sent", entries)
+		t.Errorf("the ledger has %d entries of requests that were never sent, want 0", entries)
 	}
 }
 
-// If the caller disconnects with the decision, the request may have run: one that is not idempotent is not forwarded
+// If the caller disconnects at the decision, the request may have run: one that is not idempotent is not forwarded
 // again, and nothing stays in flight.
 func TestDisconnectAtDecisionCountsAsMayHaveRun(t *testing.T) {
 	h := start(t, 2, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	s, req := h.open(ctx), h.request("order")
 	if decision := s.request(req, 0); decision.Endpoint == "" {
-		t.Fatalf("decision %+v", decision)
+		t.Fatalf("decision %+v, want an endpoint", decision)
 	}
 	cancel()
 	h.awaitRelease()
 	next := h.open(context.Background())
 	if decision := next.request(req, 2); decision.Code != 409 {
-		t.Errorf("requested again: %+v, want a conflict", decision)
+		t.Errorf("decision for the repeated request: %+v, want 409", decision)
 	}
 	next.end()
 }
@@ -72,7 +72,7 @@
 	}
 	wait.Until(t, "the request's release", func() bool { return requests() == 0 })
 	if m := s.report(504, "response_timeout", ""); m.GetImmediateResponse().GetStatus().GetCode() != 502 {
-		t.Errorf("to the late report: %v, want a failure", m)
+		t.Errorf("response to the late report: %v, want 502", m)
 	}
 	s.end()
 }
@@ -90,13 +90,13 @@
 	wait.Until(t, "the backlog", func() bool { return h.server.backlog.Load() == 3 })
 	s := h.open(context.Background())
 	if decision := s.request(h.request("pay"), 0); decision.Code != 503 || decision.RetryAfter == "" {
-		t.Errorf("beyond the backlog: %+v, want 503 with Retry-After", decision)
+		t.Errorf("decision beyond the backlog: %+v, want 503 with Retry-After", decision)
 	}
 	s.end()
 	release()
 	for _, s := range waiting {
 		if decision := s.decision(); decision.Endpoint == "" {
-			t.Errorf("within the backlog: %+v", decision)
+			t.Errorf("decision within the backlog: %+v, want an endpoint", decision)
 		}
 		s.end()
 	}
@@ -106,7 +106,7 @@
 func TestIdleStreamsAreBoundedAndExpire(t *testing.T) {
 	const (
 		maxStreams     = 10_000
-		maxStreamBytes = 32 << 10 // of both ends
+		maxStreamBytes = 32 << 10 // on the client and the server together
 	)
 	h := start(t, 1, func(o *Options, _ *balancer.Settings) {
 		o.MaxStreams = maxStreams
@@ -134,17 +134,17 @@
 		_, err = s.Recv()
 	}
 	if status.Code(err) != codes.ResourceExhausted {
-		t.Errorf("one stream too many: %v, want ResourceExhausted", err)
+		t.Errorf("a stream beyond the limit: %v, want ResourceExhausted", err)
 	}
 	for _, s := range idle {
 		if got := s.status(); got != codes.DeadlineExceeded {
-			t.Fatalf("an idle stream ends with %v, want DeadlineExceeded", got)
+			t.Fatalf("an idle stream ended with %v, want DeadlineExceeded", got)
 		}
 	}
 	wait.Until(t, "the streams' end", func() bool { return h.server.streams.Load() == 0 })
 	after := h.open(context.Background())
 	if decision := after.request(h.request("pay"), 0); decision.Endpoint == "" {
-		t.Errorf("after the idle ones: %+v", decision)
+		t.Errorf("decision after the idle streams have ended: %+v, want an endpoint", decision)
 	}
 	after.end()
 }
@@ -163,13 +163,13 @@
 		t.Fatal(err)
 	}
 	if m, err := health.Recv(); err != nil || m.Status != healthv1.HealthCheckResponse_SERVING {
-		t.Fatalf("health %v, %v", m, err)
+		t.Fatalf("health check: %v, %v, want SERVING", m, err)
 	}
 	s := h.open(context.Background())
 	decision := s.request(h.request("pay"), 0)
 	h.stop()
 	if m, err := health.Recv(); err != nil || m.Status != healthv1.HealthCheckResponse_NOT_SERVING {
-		t.Errorf("health at the end: %v, %v", m, err)
+		t.Errorf("health check at shutdown: %v, %v, want NOT_SERVING", m, err)
 	}
 	conn.Close()
 	wait.Until(t, "the end of accepting", func() bool {
@@ -185,15 +185,15 @@
 	}
 	defer laterProxy.Close()
 	if answer := laterProxy.Do(context.Background(), h.request("pay"), proxy.Behaviour{}); answer.Err == nil {
-		t.Errorf("a new request: %+v", answer)
+		t.Errorf("a new request at shutdown: %+v, want an error", answer)
 	}
 	if m := s.report(200, "via_upstream", decision.Endpoint); m.GetResponseHeaders() == nil {
-		t.Errorf("the open one: %v", m)
+		t.Errorf("response to the report of the open request: %v, want response headers", m)
 	}
 	s.end()
 	err = <-h.served
 	h.served <- err
 	if err != nil {
-		t.Errorf("the processor ended with %v", err)
+		t.Errorf("Serve returned %v", err)
 	}
 }
