--- a/internal/front/exchange/body.go
+++ b/internal/front/exchange/body.go
@@ -11,10 +11,10 @@
 )
 
 // ErrBusy is the error of ReadBody if the bodies in memory have reached their limit.
-var ErrBusy = errors.New("the memory for request bodies is in use")
+var ErrBusy = errors.New("memory limit for request bodies reached")
 
 // bodyTooLarge is the reason for a 413.
-var bodyTooLarge = fmt.Sprintf("the body is over %d bytes", httpmsg.MaxBodyBytes)
+var bodyTooLarge = fmt.Sprintf("request body exceeds %d bytes", httpmsg.MaxBodyBytes)
 
 // ReadBody reads a request's body, within its own limit and the limit of all bodies together. The caller
 // calls release once the body is not needed any more. Its errors are ErrBusy and *requestmeta.Error.
@@ -43,7 +43,7 @@
 	if in.ContentLength >= 0 {
 		body := make([]byte, in.ContentLength)
 		if _, err := io.ReadFull(in.Body, body); err != nil {
-			return nil, requestmeta.BadRequest("the body could not be read")
+			return nil, requestmeta.BadRequest("cannot read the request body")
 		}
 		return body, nil
 	}
@@ -52,7 +52,7 @@
 	if errors.As(err, &large) {
 		return nil, &requestmeta.Error{Code: http.StatusRequestEntityTooLarge, Reason: bodyTooLarge}
 	} else if err != nil {
-		return nil, requestmeta.BadRequest("the body could not be read")
+		return nil, requestmeta.BadRequest("cannot read the request body")
 	}
 	return body, nil
 }
--- a/internal/front/exchange/disconnect.go
+++ b/internal/front/exchange/disconnect.go
@@ -5,9 +5,8 @@
 // disconnectCheckKey is the context key of a connection's check.
 type disconnectCheckKey struct{}
 
-// WithDisconnectCheck returns a context for the requests of a connection, with a function that
-// looks whether its client has disconnected. The function must not block, and is called from any
-// goroutine.
+// WithDisconnectCheck returns a context for the requests of a connection, with a function that reports whether its
+// client has disconnected. The function must not block, and is called from any goroutine.
 func WithDisconnectCheck(ctx context.Context, disconnected func() bool) context.Context {
 	return context.WithValue(ctx, disconnectCheckKey{}, disconnected)
 }
--- a/internal/front/exchange/dispatcher.go
+++ b/internal/front/exchange/dispatcher.go
@@ -13,11 +13,11 @@
 	"pinedale/internal/requestmeta"
 )
 
-// ErrDisconnected is the error of Dispatch if the client has disconnected: nobody reads a response.
-var ErrDisconnected = errors.New("the client has disconnected")
+// ErrDisconnected is the error of Dispatch if the client has disconnected, so that nobody reads a response.
+var ErrDisconnected = errors.New("client disconnected")
 
-// responseSlack is how long after its deadline a request is answered here if the engine has not: the
-// engine's own timer for that instant comes first, unless the engine is late or its queue is full.
+// responseSlack is how long after a request's deadline the dispatcher responds if the engine has not. The engine's
+// own timer fires at the deadline, so this applies only if the engine is late or its queue is full.
 const responseSlack = 10 * time.Millisecond
 
 // Dispatcher passes the requests of one front to the engine.
@@ -36,7 +36,7 @@
 	return &Dispatcher{engine: e, upstream: upstream, maxBodyBytes: maxBodyBytes, inFlight: map[string]bool{}}
 }
 
-// LongestDeadline is that of the class whose requests may take longest.
+// LongestDeadline returns the longest client timeout of all classes.
 func (d *Dispatcher) LongestDeadline() time.Duration {
 	var longest balancer.Micros
 	for _, c := range d.engine.Settings().Classes {
@@ -51,24 +51,24 @@
 	if !d.register(req.CorrelationID) {
 		return engine.Response{}, &requestmeta.Error{
 			Code:   http.StatusConflict,
-			Reason: "a request with this X-Correlation-Id is open",
+			Reason: "a request with this X-Correlation-Id is already in flight",
 		}
 	}
 	defer d.unregister(req.CorrelationID)
-	// wanted ends with this call, and so before the engine is notified of a disconnect.
-	wanted, cancel := context.WithDeadline(in.Context(), d.engine.WallTime(req.Deadline).Add(responseSlack))
+	// waitCtx ends with this call, and so before the engine is notified of a disconnect.
+	waitCtx, cancel := context.WithDeadline(in.Context(), d.engine.WallTime(req.Deadline).Add(responseSlack))
 	defer cancel()
-	responses := make(chan engine.Response, 1) // with capacity for the one: Respond does not block
+	responses := make(chan engine.Response, 1) // capacity 1, so that Respond does not block
 	request := &engine.Request{
 		ID:      req.CorrelationID,
 		Key:     req.IdempotencyKey,
 		Respond: func(r engine.Response) { responses <- r },
 		Carrier: d.upstream.NewCarrier(&engine.Message{
 			Method: in.Method, URL: in.URL, Host: in.Host, Header: in.Header, Body: body,
-			Context: wanted, Disconnected: disconnectCheck(in.Context())}),
+			Context: waitCtx, Disconnected: disconnectCheck(in.Context())}),
 	}
 	submit := func(now balancer.Micros) { d.engine.Submit(now, request, req.Request) }
-	if !d.engine.PostArrival(wanted.Done(), submit) {
+	if !d.engine.PostArrival(waitCtx.Done(), submit) {
 		if in.Context().Err() != nil {
 			return engine.Response{}, ErrDisconnected
 		}
@@ -77,7 +77,7 @@
 	select {
 	case r := <-responses:
 		return r, nil
-	case <-wanted.Done():
+	case <-waitCtx.Done():
 	}
 	neverSent := request.Withdraw()
 	d.notifyDisconnected(request)
@@ -85,14 +85,14 @@
 		return engine.Response{}, ErrDisconnected
 	}
 	select {
-	case r := <-responses: // at this very moment
+	case r := <-responses: // received just after waitCtx ended
 		return r, nil
 	default:
 	}
 	if neverSent {
 		return engine.Response{Code: http.StatusServiceUnavailable}, nil
 	}
-	return engine.Response{Code: http.StatusBadGateway}, nil // an attempt may have run, or may yet
+	return engine.Response{Code: http.StatusBadGateway}, nil // an attempt may have run or may still run
 }
 
 // notifyDisconnected notifies the engine that nobody waits for a request. It does not wait for space in the
--- a/internal/front/exchange/dispatcher_test.go
+++ b/internal/front/exchange/dispatcher_test.go
@@ -94,7 +94,7 @@
 			if err != nil || response.Code != http.StatusServiceUnavailable {
 				t.Errorf("response %+v, %v; want 503", response, err)
 			}
-			release() // only now
+			release() // only after the response
 			wait.Until(t, "no request in flight", func() bool {
 				n := 0
 				e.Call(func(balancer.Micros) { n, _ = e.Counts() })
@@ -104,7 +104,7 @@
 	}
 }
 
-// Of a request that the engine has submitted it is not known whether it has run.
+// A request that the engine has submitted may have run, so it is not answered with 503.
 func TestSubmittedRequestFailsWhileEngineIsBlocked(t *testing.T) {
 	d, e, release := newBlocked(t)
 	release()
@@ -142,7 +142,7 @@
 	release()
 	e.Call(func(balancer.Micros) {
 		if n, _ := e.Counts(); n != 0 {
-			t.Errorf("%d requests are in flight", n)
+			t.Errorf("%d requests are in flight, want 0", n)
 		}
 	})
 }
--- a/internal/front/exchange/response.go
+++ b/internal/front/exchange/response.go
@@ -11,7 +11,7 @@
 	"pinedale/internal/requestmeta"
 )
 
-// busyRetryAfter is the Retry-After of a request that is rejected since the memory for bodies is in use.
+// busyRetryAfter is the Retry-After of a request that is rejected because the memory limit for bodies is reached.
 const busyRetryAfter = time.Second
 
 // microsPerSecond converts engine.Response.RetryAfter.
@@ -44,7 +44,7 @@
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(requestmeta.StatusCode(err))
-	_, _ = io.WriteString(w, text) // as in WriteResponse
+	_, _ = io.WriteString(w, text) // a client that has disconnected needs no response
 }
 
 // WriteBusy rejects a request after ErrBusy.
--- a/internal/front/fronttest/fronttest.go
+++ b/internal/front/fronttest/fronttest.go
@@ -38,8 +38,8 @@
 	Servers  []*fakebackend.Server
 }
 
-// Start starts servers and an engine that knows them, until the test ends. A front whose cleanup was registered after
-// Start ends before them. Then no goroutine may remain.
+// Start runs servers, and an engine that has them as endpoints, until the test ends. A front whose cleanup is
+// registered after Start ends before them. The test fails if a goroutine remains after that.
 func Start(t testing.TB, o Options) *Backend {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
--- a/internal/front/httpfront/accept_test.go
+++ b/internal/front/httpfront/accept_test.go
@@ -27,7 +27,7 @@
 	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 }
 
-// A service must not end, nor pause for long, since accept fails for a moment.
+// Transient failures of accept neither end the service nor pause it for long.
 func TestAcceptGoesOnAfterTransientFailures(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	defer c.Close()
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("the connection was accepted after %v", took)
+		t.Errorf("the connection was accepted after %v, want at most 1 s", took)
 	}
 	if lines := strings.Count(text.String(), "accepting a connection failed"); lines != 1 {
 		t.Errorf("%d lines in the log, want one", lines)
@@ -82,7 +82,7 @@
 	}
 	c.Close()
 	if _, err := l.Accept(); err == nil {
-		t.Error("a connection that no client has opened")
+		t.Error("Accept returned a connection that no client has opened")
 	}
 }
 
--- a/internal/front/httpfront/closelog.go
+++ b/internal/front/httpfront/closelog.go
@@ -9,7 +9,6 @@
 // closeReason is why a client's connection was closed here without a response.
 type closeReason string
 
-// The reasons.
 const (
 	closedAtLimit      closeReason = "all connections have a request in flight"
 	closedIdleLongest  closeReason = "idle longest, at the limit of connections"
@@ -18,7 +17,7 @@
 	closedEvicted      closeReason = "evicted as its request arrived"
 )
 
-// closeLogInterval is the shortest time between two lines on one reason.
+// closeLogInterval is the shortest time between two log lines with the same reason.
 const closeLogInterval = time.Second
 
 // closeLog logs the closes of clients' connections, each reason at most once in closeLogInterval.
@@ -29,13 +28,13 @@
 	counts map[closeReason]closeCount
 }
 
-// closeCount counts the closes since the last line on them.
+// closeCount counts the closes with one reason since its last log line.
 type closeCount struct {
 	loggedAt time.Time
 	count    int
 }
 
-// add counts a close of a connection whose request, if it was read, has this id.
+// add counts a closed connection. requestID is the id of its request, "" if none was read.
 func (l *closeLog) add(reason closeReason, requestID string) {
 	if l.log == nil {
 		return
--- a/internal/front/httpfront/closelog_test.go
+++ b/internal/front/httpfront/closelog_test.go
@@ -16,7 +16,7 @@
 		closes.add(closedAtLimit, "")
 	}
 	if lines := strings.Count(text.String(), "\n"); lines != 2 {
-		t.Errorf("%d lines, want one for each reason:\n%s", lines, text.String())
+		t.Errorf("%d log lines, want one for each reason:\n%s", lines, text.String())
 	}
 	if !strings.Contains(text.String(), `reason="client disconnected before its response" request=9b count=1`) {
 		t.Errorf("no line with reason and request:\n%s", text.String())
--- a/internal/front/httpfront/conn.go
+++ b/internal/front/httpfront/conn.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// maxReadAheadBytes bounds what is buffered that a client sends behind a request in flight. Clients
-	// send one request at a time: one that sends more does not wait for responses.
+	// maxReadAheadBytes bounds the buffered bytes that a client sends after a request in flight. Clients send one
+	// request at a time; one that exceeds the limit does not wait for responses.
 	maxReadAheadBytes = 16 << 10
 	readAheadChunk    = 4 << 10
 )
 
-var errReadAhead = errors.New("too many bytes behind a request in flight")
+var errReadAheadLimit = errors.New("too many bytes received after a request in flight")
 
 // clientConn is one connection of a client. It carries one request at a time.
 //
-// Its states, by the list that it is in: idle, receiving (a part of a request), in flight (no list). A
-// connection that is evicted or closed is uncounted and in no list.
+// Its state is given by the list that it is in: idle, receiving (part of a request was received) or none (a request
+// is in flight). A connection that is evicted or closed is uncounted and in no list.
 type clientConn struct {
 	net.Conn
 	owner *clientListener
 
-	// Under owner.mu.
+	// Guarded by owner.mu.
 	list           *list.List // owner.idle, owner.receiving or nil
 	element        *list.Element
 	receivingSince time.Time // first byte of the request that is arriving
@@ -35,7 +35,7 @@
 	uncounted      bool      // evicted or closed: not in owner.open
 	closed         bool
 
-	mu          sync.Mutex // net/http reads while a handler runs
+	mu          sync.Mutex // guards the fields below: net/http reads while a handler runs
 	head        httpmsg.HeadScan
 	inFlight    bool   // a request is in flight: what is received belongs to the next one
 	readAhead   []byte // received while a request was in flight, not yet returned by Read
@@ -66,15 +66,15 @@
 	c.moveTo(nil)
 }
 
-// interruptRead ends an idle connection by an expired read deadline, after which net/http closes it. It is
-// not closed here: a request that has been read at this very moment is still served, and one that has not is
-// unread when net/http closes, so that its client may send it again. The caller holds owner.mu.
+// interruptRead ends an idle connection by an expired read deadline, after which net/http closes it. It is not closed
+// here, so that a request that is read at the same time is still served. A request that is not read remains unread
+// when net/http closes, so that its client may send it again. The caller holds owner.mu.
 func (c *clientConn) interruptRead() {
 	_ = c.Conn.SetReadDeadline(expiredDeadline) // fails if the connection has ended already
 }
 
-// SetReadDeadline sets the deadline for reading. That of an idle connection stays expired once idle
-// connections are closed: net/http would undo interruptRead.
+// SetReadDeadline sets the deadline for reading. The deadline of an idle connection stays expired once idle
+// connections are being closed: net/http would otherwise undo interruptRead.
 func (c *clientConn) SetReadDeadline(at time.Time) error {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -93,9 +93,8 @@
 	return c.Conn.Close()
 }
 
-// Read reads for net/http. While a request is in flight it reads ahead and buffers what it receives:
-// net/http reads a single byte then to notice a disconnect, and would not notice it any more once that byte
-// has arrived.
+// Read reads for net/http. While a request is in flight it reads ahead and buffers what it receives: net/http then
+// reads a single byte to detect a disconnect, and could not detect one after that byte has arrived.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.readNextRequest(p)
 	if n > 0 {
@@ -129,7 +128,7 @@
 			return 0, err
 		}
 		if len(c.readAhead) > maxReadAheadBytes && c.inFlight {
-			return 0, errReadAhead
+			return 0, errReadAheadLimit
 		}
 		if direct {
 			buffer, direct = make([]byte, readAheadChunk), false
@@ -150,22 +149,22 @@
 	if c.closed || c.list == &c.owner.receiving {
 		return
 	}
-	if c.uncounted { // evicted at this very moment: the request is served first
+	if c.uncounted { // evicted concurrently: the request is served first
 		c.uncounted = false
 		c.owner.open++
 		if c.used {
 			c.owner.used++
 		}
 	} else if c.list == nil {
-		return // it belongs to the request in flight
+		return // the bytes belong to the request in flight
 	}
 	c.receivingSince = time.Now()
 	c.moveTo(&c.owner.receiving)
 }
 
-// requestStarted records that a request is in flight: what is received from here on belongs to the next
-// one. bodyLength is that of its body, -1 if unknown. alone reports that nothing was received behind the
-// request, ok that its connection has not been evicted in the meantime.
+// requestStarted records that a request is in flight: bytes received from now on belong to the next one. bodyLength
+// is the length of its body, -1 if unknown. alone reports whether nothing was received after the request, ok whether
+// its connection has not been evicted in the meantime.
 func (c *clientConn) requestStarted(bodyLength int64) (alone, ok bool) {
 	c.mu.Lock()
 	alone = bodyLength >= 0 && c.head.ScannedBytes == c.head.HeaderBytes+bodyLength
@@ -185,9 +184,9 @@
 	return alone, true
 }
 
-// watchDisconnect calls disconnected when the client disconnects, if net/http does not watch for it any
-// more: it has read a byte of what was received behind the request before requestStarted. The goroutine ends
-// with the connection, or at the first byte that is received after the response.
+// watchDisconnect calls disconnected when the client disconnects, if net/http no longer watches for that. net/http
+// stops watching when it has read a byte that followed the request and was received before requestStarted. The
+// goroutine ends with the connection, or at the first byte that is received after the response.
 func (c *clientConn) watchDisconnect(disconnected func()) {
 	c.mu.Lock()
 	watched := c.activeReads > 0
--- a/internal/front/httpfront/disconnect.go
+++ b/internal/front/httpfront/disconnect.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// disconnected reports whether the client has closed its side of the connection, by a look at the
-// socket. It returns false where that cannot be seen: behind bytes that have not been read, and on
-// connections that do not show their socket.
+// disconnected reports whether the client has closed its side of the connection, by peeking at the socket. It returns
+// false where that cannot be seen: behind bytes that have not been read, and on connections that do not expose their
+// socket.
 func (c *clientConn) disconnected() bool {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -15,10 +15,10 @@
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
-		return true // closed here
+		return true // closed on this side
 	}
 	ended := false
-	// Not raw.Read: that would wait for the read of net/http, which is under way meanwhile.
+	// Not raw.Read, which would wait for the concurrent read of net/http to return.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/front/httpfront/disconnect_test.go
+++ b/internal/front/httpfront/disconnect_test.go
@@ -31,7 +31,7 @@
 	return client, &clientConn{Conn: raw}
 }
 
-// A disconnect is seen at the socket, while a read is under way or not and whatever that has found.
+// A disconnect is detected at the socket, whether or not a read is running and whatever that read has returned.
 func TestDisconnectIsSeenAtTheSocket(t *testing.T) {
 	for name, end := range map[string]func(net.Conn){
 		"closed":        func(c net.Conn) { c.Close() },
@@ -52,7 +52,7 @@
 				}()
 			}
 			if served.disconnected() {
-				t.Fatal("disconnected before its end")
+				t.Fatal("disconnected is true before the connection is closed")
 			}
 			if end == nil {
 				served.Conn.Close()
@@ -65,17 +65,17 @@
 	}
 }
 
-// A client that has sent bytes behind its request is taken for connected.
+// A client that has sent bytes after its request counts as connected.
 func TestUnreadBytesAreNoDisconnect(t *testing.T) {
 	client, served := connPair(t)
 	if _, err := io.WriteString(client, "GET"); err != nil {
 		t.Fatal(err)
 	}
 	if served.disconnected() {
-		t.Error("disconnected, with bytes to be read")
+		t.Error("disconnected is true while bytes are unread")
 	}
 	received := make([]byte, 3)
 	if _, err := io.ReadFull(served.Conn, received); err != nil || string(received) != "GET" {
-		t.Errorf("the look at the socket has taken bytes: %q, %v", received, err)
+		t.Errorf("received %q, %v after the check, want the unread bytes GET", received, err)
 	}
 }
--- a/internal/front/httpfront/drain.go
+++ b/internal/front/httpfront/drain.go
@@ -7,27 +7,27 @@
 	// for 0.4 s.
 	defaultAcceptTime = 600 * time.Millisecond
 
-	// The platform kills the process no sooner than the longest class deadline, of which maxKillDelay
-	// counts at most, and killDelay after SIGTERM. Requests in flight have their responses killMargin before
-	// that, for the way to the client.
+	// The platform kills the process, at the earliest, killDelay plus the longest class deadline after SIGTERM;
+	// of that deadline at most maxKillDelay counts. Requests in flight are answered killMargin earlier, so that
+	// the responses reach their clients.
 	maxKillDelay = 3 * time.Second
 	killDelay    = 700 * time.Millisecond
 	killMargin   = 250 * time.Millisecond
-	// exitDelay later Serve returns, even if a client still holds a connection.
+	// exitDelay is how long after the drain timeout Serve returns even if a client still holds a connection open.
 	exitDelay = 100 * time.Millisecond
 
-	drainInterval = 5 * time.Millisecond // of the checks whether draining is complete
+	drainInterval = 5 * time.Millisecond // between checks whether draining is complete
 )
 
-// drain ends the service without losing a request. Idle connections are closed at once, while a client whose
-// request crosses that can still connect anew; every response from here on closes its connection. served is
-// closed when the listener is. net/http's Shutdown is not used: it closes as idle also a connection whose
-// request has been read and not yet parsed.
+// drain ends the service without losing a request. Idle connections are closed at once, while a client that was just
+// sending a request can still open a new one; every later response closes its connection. served is closed when the
+// listener is. net/http's Shutdown is not used: it would also close a connection whose request has been read but not
+// yet parsed.
 func (s *Server) drain(served <-chan struct{}) {
 	longest := s.dispatcher.LongestDeadline()
 	began := time.Now()
 	end := began.Add(s.opts.DrainTimeout(longest))
-	s.endAt.Store(s.engine.Now() + time.Until(end).Microseconds())
+	s.drainDeadline.Store(s.engine.Now() + time.Until(end).Microseconds())
 	s.clients.closeIdleConnections()
 	stopped, accepting, expired := false, true, false
 	ticker := time.NewTicker(drainInterval)
@@ -55,5 +55,5 @@
 	}
 }
 
-// draining reports whether the service ends.
-func (s *Server) draining() bool { return s.endAt.Load() != 0 }
+// draining reports whether shutdown has begun.
+func (s *Server) draining() bool { return s.drainDeadline.Load() != 0 }
--- a/internal/front/httpfront/listener.go
+++ b/internal/front/httpfront/listener.go
@@ -12,10 +12,10 @@
 	// slowRequestAfter is how long a request may take to arrive before its connection may be evicted: the
 	// application runs on the same host and sends it in one piece.
 	slowRequestAfter = 100 * time.Millisecond
-	// acceptIdleTime is how long no connection must have been accepted before the listener is closed:
-	// connections in its queue are reset then.
+	// acceptIdleTime is how long no connection must have been accepted before a stopping listener is closed. Closing
+	// it resets the connections in its queue.
 	acceptIdleTime = 20 * time.Millisecond
-	// maxAcceptTime is after how long it is closed in any case.
+	// maxAcceptTime is the time after which a stopping listener is closed in any case.
 	maxAcceptTime = 100 * time.Millisecond
 )
 
--- a/internal/front/httpfront/listener_test.go
+++ b/internal/front/httpfront/listener_test.go
@@ -46,12 +46,12 @@
 	defer dial().Close()
 	c := <-accepted
 	if _, ok := c.requestStarted(0); !ok {
-		t.Fatal("the first connection is evicted")
+		t.Fatal("the first connection was evicted")
 	}
 	second := dial()
 	defer second.Close()
 	if _, err := second.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the second connection: %v, want its end", err)
+		t.Errorf("read on the second connection: %v, want io.EOF", err)
 	}
 	c.requestDone()
 	defer dial().Close()
@@ -119,8 +119,8 @@
 	return err
 }
 
-// A request that is read at the very moment in which its connection is closed as idle, on shutdown or to make
-// room for another, is served: its client could not know that it was read.
+// A request that is read while its connection is being closed as idle, on shutdown or to make room for another, is
+// served: its client could not know that it was read.
 func TestRequestReadDuringEvictionIsServed(t *testing.T) {
 	for name, closeIdle := range map[string]func(l *clientListener){
 		"shutdown": (*clientListener).closeIdleConnections,
@@ -178,11 +178,11 @@
 			}
 			if name == "shutdown" {
 				if _, err := reader.ReadByte(); err != io.EOF {
-					t.Errorf("after its response the connection: %v, want its end", err)
+					t.Errorf("read after the response: %v, want io.EOF", err)
 				}
 			}
 			if l.count() > 1 {
-				t.Errorf("%d connections are counted", l.count())
+				t.Errorf("%d connections are counted, want at most 1", l.count())
 			}
 		})
 	}
@@ -214,8 +214,8 @@
 	}
 }
 
-// Each request has its response before the platform kills the process: no sooner than the longest deadline,
-// 3 s of it at most, and 0.7 s after SIGTERM.
+// Each request has its response before the platform kills the process. The earliest kill is 0.7 s plus the longest
+// deadline after SIGTERM, where at most 3 s of the deadline count.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	s := New(nil, nil, Options{Parser: &requestmeta.Parser{}, Log: slog.New(slog.DiscardHandler)})
 	for _, longest := range []time.Duration{
--- a/internal/front/httpfront/server.go
+++ b/internal/front/httpfront/server.go
@@ -32,29 +32,29 @@
 
 // Options are the limits of a server.
 type Options struct {
-	Connections int // of clients, open at most
+	Connections int // max open client connections
 	// KeepAliveThreshold is the number of connections that have carried a request above which a response closes its
 	// own.
 	KeepAliveThreshold int
-	BodyBytes          int64               // of the requests in flight together, at most
-	Parser             *requestmeta.Parser // nil for that of the engine's settings
+	BodyBytes          int64               // max total body bytes of the requests in flight
+	Parser             *requestmeta.Parser // if nil, one is made from the engine's settings
 	AltSvc             string              // sent with each response, "" for none (RFC 7838)
-	AcceptFor          time.Duration       // how long new connections are accepted while draining; 0 for the platform's
-	// DrainTimeout is how long after the start of draining each request in flight has its response, by the longest
-	// deadline of any class; nil for the platform's.
+	AcceptFor          time.Duration       // how long draining accepts new connections; 0 for defaultAcceptTime
+	// DrainTimeout returns the time from the start of draining until each request in flight has its response, given
+	// the longest deadline of any class. If nil, it follows from when the platform kills the process.
 	DrainTimeout func(longest time.Duration) time.Duration
 	Log          *slog.Logger
 }
 
 // Server is the front. Make one with New.
 type Server struct {
-	engine     *engine.Engine
-	http       http.Server
-	clients    *clientListener
-	parser     *requestmeta.Parser
-	dispatcher *exchange.Dispatcher
-	endAt      atomic.Int64 // by the engine's clock, no request's deadline is later; 0 before draining
-	opts       Options
+	engine        *engine.Engine
+	http          http.Server
+	clients       *clientListener
+	parser        *requestmeta.Parser
+	dispatcher    *exchange.Dispatcher
+	drainDeadline atomic.Int64 // latest deadline of any request, by the engine's clock; 0 before draining
+	opts          Options
 }
 
 // credentialed is a connection whose certificates may expire or be revoked while it is open: keep is false
@@ -63,7 +63,7 @@
 	StateAt(now time.Time) (keep, trusted bool, reason string)
 }
 
-// connKey finds the connection of a request in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 // New returns a server that passes requests to the engine, whose attempts the upstream sends.
@@ -109,7 +109,7 @@
 // Serve serves until ctx ends, then answers the requests that it has accepted and returns.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	s.clients.Listener = listener
-	var serveErr error // once served is closed
+	var serveErr error // valid once served is closed
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
@@ -171,8 +171,8 @@
 	// The deadline for reading the request would otherwise cancel its context while the response is awaited.
 	_ = c.SetReadDeadline(time.Time{}) // fails if the client has disconnected: net/http notices by itself
 	if !alone {
-		// Clients send one request at a time. What is received behind this one is not read: nothing but the
-		// client's own framing says that it is a request.
+		// Clients send one request at a time. Bytes that follow this one are not parsed: only the client's own
+		// framing says that they are a request.
 		closeAfterResponse(w)
 		ctx, cancel := context.WithCancel(in.Context())
 		defer cancel()
@@ -183,17 +183,17 @@
 		s.dispatcher.WriteReadiness(w, s.draining())
 		return
 	}
-	// The request's time counts from its last byte, which has only come now.
+	// The time to the deadline counts from the request's last byte, which has only now been received.
 	req.Deadline += s.engine.Now() - arrived
 	s.dispatch(w, in, c, req, body)
 }
 
-// checkConnection returns an error if no request may be accepted on a connection. If this is to be its last
-// request, it has the response close it.
+// checkConnection returns an error if no request may be accepted on a connection. If this is to be the connection's
+// last request, the response closes it.
 func checkConnection(w http.ResponseWriter, c *clientConn) error {
 	if c.hasAmbiguousLength() {
-		// What follows the header may hide another request: the connection is closed.
-		return requestmeta.BadRequest("Content-Length beside another, or beside Transfer-Encoding")
+		// The bytes after the header may hide another request: the connection is closed.
+		return requestmeta.BadRequest("duplicate Content-Length, or Content-Length with Transfer-Encoding")
 	}
 	conn, ok := c.Conn.(credentialed)
 	if !ok {
@@ -223,13 +223,13 @@
 
 // dispatch passes a request to the engine and writes its response.
 func (s *Server) dispatch(w http.ResponseWriter, in *http.Request, c *clientConn, req requestmeta.Parsed, body []byte) {
-	if end := s.endAt.Load(); end != 0 {
+	if end := s.drainDeadline.Load(); end != 0 {
 		req.Deadline = min(req.Deadline, end)
 	}
 	response, err := s.dispatcher.Dispatch(in, req, body)
 	if errors.Is(err, exchange.ErrDisconnected) {
-		// A client that has closed its sending side only must not receive a complete response that no
-		// endpoint made.
+		// A client that has closed only its sending side must not receive a complete response that no endpoint
+		// made.
 		s.clients.closes.add(closedDisconnected, req.CorrelationID)
 		panic(http.ErrAbortHandler)
 	} else if err != nil {
@@ -240,14 +240,14 @@
 	if s.clients.aboveKeepAliveThreshold() {
 		closeAfterResponse(w)
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails if the connection has ended: so does the write
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails if the connection has ended; the write then fails too
 	exchange.WriteResponse(w, response)
 }
 
 // closeAfterResponse has a response close its connection.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// closeWhileDraining has a response close its connection if the service ends.
+// closeWhileDraining has a response close its connection if the service is draining.
 func (s *Server) closeWhileDraining(w http.ResponseWriter) {
 	if s.draining() {
 		closeAfterResponse(w)
@@ -261,8 +261,8 @@
 	discardBody(w, in)
 }
 
-// discardBody flushes the response and then reads what the client still sends, within limits: a connection
-// that is closed before is reset, and the client may never read its response (RFC 9112, section 9.6).
+// discardBody flushes the response and then reads what the client still sends, within limits: a connection that is
+// closed earlier is reset, and the client may never read its response (RFC 9112, section 9.6).
 func discardBody(w http.ResponseWriter, in *http.Request) {
 	if in.ContentLength == 0 || http.NewResponseController(w).Flush() != nil {
 		return
