--- a/internal/front/http3front/conn.go
+++ b/internal/front/http3front/conn.go
@@ -10,7 +10,7 @@
 	"pinedale/internal/certstore"
 )
 
-// connKey finds the connection of a request in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 // clientConn is a client's connection.
@@ -22,8 +22,8 @@
 	credentials  *certstore.Lifetime // set by once
 }
 
-// checkCredentials reports whether the certificates of a connection are still valid, and if not the reason.
-// Before the handshake is complete they are not known, and cannot have changed much since.
+// checkCredentials reports whether the certificates of a connection are still valid, and if not the reason. Before the
+// handshake is complete the client's certificate is not known, and too little time has passed for a relevant change.
 func (c *clientConn) checkCredentials() (trusted bool, reason string) {
 	if c.mayBeEarlyData() {
 		return true, ""
@@ -35,8 +35,8 @@
 	return state.Trusted, state.Reason
 }
 
-// mayBeEarlyData reports whether a request may have arrived in 0-RTT data, which anybody may replay. Once the
-// handshake is complete its client is known to be there (RFC 8470, section 3).
+// mayBeEarlyData reports whether a request may have arrived in 0-RTT data, which anybody may replay. A complete
+// handshake proves that the client itself is connected (RFC 8470, section 3).
 func (c *clientConn) mayBeEarlyData() bool {
 	select {
 	case <-c.HandshakeComplete():
--- a/internal/front/http3front/earlydata_test.go
+++ b/internal/front/http3front/earlydata_test.go
@@ -64,7 +64,7 @@
 		method, class string
 		want          int
 	}{{"POST", "pay", http.StatusTooEarly}, {"GET", "read", http.StatusOK}} {
-		// The client receives nothing from the server: its handshake is not complete.
+		// The client receives nothing from the server, so its handshake does not complete.
 		h.relay.SetBlocked(udprelay.ToClient, true)
 		stream, closeConn := h.sendEarly(h.newRequest(test.method, test.class, ""))
 		if test.want == 200 {
@@ -78,7 +78,7 @@
 		h.relay.SetBlocked(udprelay.ToClient, false)
 		out, err := stream.ReadResponse()
 		if err != nil || out.StatusCode != test.want {
-			t.Errorf("%s: %v, %v, want %d", test.class, out, err, test.want)
+			t.Errorf("%s: response %v, %v, want status %d", test.class, out, err, test.want)
 		}
 		if err == nil {
 			out.Body.Close()
@@ -86,6 +86,6 @@
 		closeConn()
 	}
 	if n := h.fleet.Counts().Executed; n != before+1 {
-		t.Errorf("%d ran early, want the idempotent request", n-before)
+		t.Errorf("%d requests in early data ran, want only the idempotent one", n-before)
 	}
 }
--- a/internal/front/http3front/harness_test.go
+++ b/internal/front/http3front/harness_test.go
@@ -98,7 +98,7 @@
 	t.Cleanup(func() {
 		h.stop()
 		if err := <-h.served; err != nil {
-			t.Errorf("the front ended with %v", err)
+			t.Errorf("Serve returned %v", err)
 		}
 	})
 	if h.relay, err = udprelay.Start(h.directAddress, udprelay.Script{}); err != nil {
--- a/internal/front/http3front/limits.go
+++ b/internal/front/http3front/limits.go
@@ -10,19 +10,19 @@
 )
 
 // maxUnverifiedPerSecond is how many new connections per second are accepted from addresses that are not verified.
-// Each one beyond has to prove that it receives at its address (RFC 9000, section 8.1.2).
+// Clients of further connections must prove that they receive packets at their address (RFC 9000, section 8.1.2).
 const maxUnverifiedPerSecond = 100
 
 // errTooManyConnections rejects a connection before its handshake.
-var errTooManyConnections = errors.New("the limit of open connections is reached")
+var errTooManyConnections = errors.New("limit of open connections reached")
 
 // admit counts a new connection until its context ends, and rejects it at the limit.
 func (s *Server) admit(ctx context.Context, _ *quic.ClientInfo) (context.Context, error) {
-	if s.open.Add(1) > int64(s.opts.Connections) {
-		s.open.Add(-1)
+	if s.openConnections.Add(1) > int64(s.opts.Connections) {
+		s.openConnections.Add(-1)
 		return nil, errTooManyConnections
 	}
-	context.AfterFunc(ctx, func() { s.open.Add(-1) })
+	context.AfterFunc(ctx, func() { s.openConnections.Add(-1) })
 	return ctx, nil
 }
 
@@ -30,7 +30,7 @@
 // connections, whose source addresses may be forged.
 func (s *Server) requiresVerification(net.Addr) bool { return s.aboveUnverifiedRate(time.Now().Unix()) }
 
-// aboveUnverifiedRate counts a new connection in a second, and reports whether there are too many in it.
+// aboveUnverifiedRate counts a new connection in the given second, and reports whether there are too many in it.
 func (s *Server) aboveUnverifiedRate(second int64) bool {
 	if s.countedSecond.Swap(second) != second {
 		s.newInSecond.Store(0)
@@ -43,7 +43,7 @@
 }
 
 // Connections returns the number of open connections.
-func (s *Server) Connections() int { return int(s.open.Load()) }
+func (s *Server) Connections() int { return int(s.openConnections.Load()) }
 
 // Verified returns the number of connections whose address had to be verified first.
 func (s *Server) Verified() int { return int(s.verified.Load()) }
--- a/internal/front/http3front/limits_test.go
+++ b/internal/front/http3front/limits_test.go
@@ -22,16 +22,16 @@
 		request.URL.Host = h.directAddress // the relay serves one client at a time
 		code, text := h.roundTrip(h.newClient(), request)
 		if want := map[bool]int{true: 200, false: 0}[n < 3]; code != want {
-			t.Errorf("connection %d: %d %s", n, code, text)
+			t.Errorf("connection %d: status %d %s, want %d", n, code, text, want)
 		}
 	}
 	if n := h.server.Connections(); n != 3 {
-		t.Errorf("%d connections are open", n)
+		t.Errorf("%d connections are open, want 3", n)
 	}
 	if h.server.Verified() > 0 {
-		t.Error("a few connections had their addresses verified")
+		t.Error("addresses were verified below the rate limit")
 	}
-	// A server that nobody connects to: datagrams of a rejected client may still arrive at the other one.
+	// A server without clients: datagrams of a rejected client may still arrive at the other one.
 	flooded := New(h.engine, h.upstream, h.options)
 	const limit = maxUnverifiedPerSecond
 	for second, connections := range []int{limit + 50, limit, limit + 1} {
@@ -42,11 +42,11 @@
 			}
 		}
 		if verified != connections-limit {
-			t.Errorf("of %d new connections in a second %d are verified", connections, verified)
+			t.Errorf("%d new connections in a second: %d verified, want %d", connections, verified, connections-limit)
 		}
 	}
 	if n := flooded.Verified(); n != 51 {
-		t.Errorf("%d are counted, want 51", n)
+		t.Errorf("%d verified connections are counted, want 51", n)
 	}
 }
 
@@ -73,7 +73,7 @@
 		stream.CancelRead(quic.StreamErrorCode(http3.ErrCodeRequestCanceled))
 		if n%100 == 0 {
 			if code, text := h.roundTrip(other, h.newRequest("GET", "read", "")); code != 200 {
-				t.Errorf("another client: %d %s", code, text)
+				t.Errorf("request of another client: status %d %s, want 200", code, text)
 			}
 		}
 	}
--- a/internal/front/http3front/path_test.go
+++ b/internal/front/http3front/path_test.go
@@ -29,15 +29,15 @@
 		t.Fatal(err)
 	}
 	if got := <-response; got != "200done" {
-		t.Errorf("response %s", got)
+		t.Errorf("response %s, want 200done", got)
 	}
 	if code, text := h.roundTrip(c, h.newRequest("GET", "read", "")); code != 200 {
-		t.Errorf("afterwards: %d %s", code, text)
+		t.Errorf("request after the migration: status %d %s, want 200", code, text)
 	}
 	connections, addresses := h.server.Connections(), h.relay.ClientAddressCount()
 	executed, duplicates := h.fleet.Counts().Executed-before, h.fleet.DuplicateEffects()
 	if connections != 1 || executed != 2 || addresses != 2 || len(duplicates) > 0 {
-		t.Errorf("%d connections, %d requests ran, %d addresses, done twice %v",
+		t.Errorf("%d connections, %d requests ran, %d addresses, duplicate effects %v, want 1, 2, 2 and none",
 			connections, executed, addresses, duplicates)
 	}
 }
@@ -54,7 +54,7 @@
 				all.Go(func() {
 					key := h.newRequest("POST", "pay", "").Header.Get("Idempotency-Key")
 					code, text := 503, ""
-					// Endpoints without traffic before accept few requests at first.
+					// Slow start: endpoints without earlier traffic accept few requests at first.
 					for retries := 0; code == 503 && retries < 50; retries++ {
 						r := h.newRequest("POST", "pay", "body")
 						r.Header.Set("X-Time-Left-Ms", "30000")
@@ -64,14 +64,14 @@
 						}
 					}
 					if code != 200 {
-						t.Errorf("%d %s", code, text)
+						t.Errorf("status %d %s, want 200", code, text)
 					}
 				})
 			}
 			all.Wait()
 			counts, duplicates := h.fleet.Counts(), h.fleet.DuplicateEffects()
 			if counts.Executed != 30 || len(duplicates) > 0 {
-				t.Errorf("%+v, done twice %v", counts, duplicates)
+				t.Errorf("server counts %+v, duplicate effects %v, want 30 executed and none", counts, duplicates)
 			}
 		})
 	}
--- a/internal/front/http3front/request.go
+++ b/internal/front/http3front/request.go
@@ -26,7 +26,7 @@
 		exchange.WriteError(w, &requestmeta.Error{Code: http.StatusForbidden, Reason: reason})
 		return
 	}
-	// Fails if the stream has ended: so does reading.
+	// If this fails, the stream has ended, and reading the body fails too.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(readTimeout))
 	detectEmptyBody(in)
 	req, err := s.opts.Parser.Parse(requestmeta.Request{
@@ -48,8 +48,8 @@
 	s.dispatch(w, in, req)
 }
 
-// detectEmptyBody finds out whether a GET of unknown length has a body: in HTTP/3 the header does not say so, the
-// end of the stream does.
+// detectEmptyBody finds out whether a GET of unknown length has a body: in HTTP/3 only the end of the stream shows
+// that it has none.
 func detectEmptyBody(in *http.Request) {
 	if in.ContentLength >= 0 || in.Method != http.MethodGet {
 		return
--- a/internal/front/http3front/request_test.go
+++ b/internal/front/http3front/request_test.go
@@ -33,21 +33,21 @@
 		{"a wrong method", h.newRequest("PUT", "pay", "body"), nil, 405, "POST"},
 		{"a huge body", h.newRequest("POST", "pay", hugeBody), nil, 413, "65536"},
 		{"a huge body of unknown length", h.newRequest("POST", "pay", hugeBody), unknownLength, 413, "65536"},
-		{"no class", h.newRequest("GET", "gift", ""), nil, 400, "gift"},
+		{"an unknown class", h.newRequest("GET", "gift", ""), nil, 400, "gift"},
 	} {
 		if test.alter != nil {
 			test.alter(test.request)
 		}
 		if code, text := h.roundTrip(c, test.request); code != test.code || !strings.Contains(text, test.text) {
-			t.Errorf("%s: %d %q, want %d with %q", test.name, code, text, test.code, test.text)
+			t.Errorf("%s: status %d, body %q, want %d with %q", test.name, code, text, test.code, test.text)
 		}
 	}
 	readiness := h.newRequest("GET", "read", "")
 	readiness.URL.Path = "/health/ready"
 	if code, _ := h.roundTrip(c, readiness); code != 200 {
-		t.Errorf("ready: %d", code)
+		t.Errorf("readiness: status %d, want 200", code)
 	}
 	if n := h.server.Connections(); n != 1 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections are open, want 1", n)
 	}
 }
--- a/internal/front/http3front/server.go
+++ b/internal/front/http3front/server.go
@@ -25,18 +25,18 @@
 	// idleTimeout ends connections on which nothing is received. A phone that changes networks is silent
 	// for some seconds, and its connection must outlive that.
 	idleTimeout = 30 * time.Second
-	// Bodies of requests and responses have httpmsg.MaxBodyBytes at most: flow control needs no more.
+	// Bodies of requests and responses have at most httpmsg.MaxBodyBytes, so larger windows are not needed.
 	streamWindow     = httpmsg.MaxBodyBytes
 	connectionWindow = 16 * streamWindow
 )
 
-// Options are the limits of a server.
+// Options configure a Server.
 type Options struct {
 	KeyStore        *certstore.Store // certificates of the server, and the roots that clients are verified by
-	Name            string           // of the instance: it makes the key of stateless resets its own
-	Connections     int              // open at most
-	Streams         int              // requests in flight on one connection, at most
-	BodyBytes       int64            // of the requests in flight together, at most
+	Name            string           // of the instance: gives it a stateless reset key of its own
+	Connections     int              // max open connections
+	Streams         int              // max requests in flight on one connection
+	BodyBytes       int64            // max total body bytes of the requests in flight
 	AcceptEarlyData bool             // accept 0-RTT data, for idempotent classes (RFC 8470)
 	Parser          *requestmeta.Parser
 	Log             *slog.Logger
@@ -50,10 +50,10 @@
 	http       http3.Server
 	draining   atomic.Bool
 
-	open          atomic.Int64 // connections
-	countedSecond atomic.Int64 // Unix time of the second that newInSecond counts
-	newInSecond   atomic.Int64 // connections
-	verified      atomic.Int64 // connections whose address had to be verified
+	openConnections atomic.Int64
+	countedSecond   atomic.Int64 // Unix time of the second that newInSecond counts
+	newInSecond     atomic.Int64 // new connections in that second
+	verified        atomic.Int64 // connections whose address had to be verified
 }
 
 // New returns a server that passes requests to the engine, whose attempts the upstream sends.
@@ -87,7 +87,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	var serveErr error // once served is closed
+	var serveErr error // valid once served is closed
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
@@ -110,15 +110,15 @@
 	return nil
 }
 
-// newTransport returns the QUIC transport over conn, which bounds the connections and the addresses that are
-// not verified, and resets connections of a process before this one.
+// newTransport returns the QUIC transport over conn. It limits the open connections, verifies client addresses when
+// many new connections arrive, and resets connections of an earlier process.
 func (s *Server) newTransport(conn net.PacketConn) (*quic.Transport, error) {
 	// A restarted process does not know its clients' connections, and without a reset each would wait for
 	// its idle timeout (RFC 9000, section 10.3). The key must survive the restart, and differ between
-	// instances: one that reset another's connections could be used to end them (section 21.11).
+	// instances: an instance that resets another's connections could be abused to end them (section 21.11).
 	secret, err := s.opts.KeyStore.Secret("QUIC stateless reset, " + s.opts.Name)
 	if err != nil {
-		return nil, fmt.Errorf("stateless reset: %w", err)
+		return nil, fmt.Errorf("derive the stateless reset key: %w", err)
 	}
 	resetKey := quic.StatelessResetKey(secret)
 	return &quic.Transport{
--- a/internal/front/http3front/shutdown_test.go
+++ b/internal/front/http3front/shutdown_test.go
@@ -29,15 +29,15 @@
 	h.stop()
 	wait.Until(t, "draining", h.server.draining.Load)
 	if code := <-response; code != 200 {
-		t.Errorf("the request in flight: %d", code)
+		t.Errorf("the request in flight: status %d, want 200", code)
 	}
 	soon, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	if code, _ := h.roundTrip(h.newClient(), h.newRequest("GET", "read", "").WithContext(soon)); code != 0 {
-		t.Errorf("a request while draining: %d", code)
+		t.Errorf("a request while draining: status %d, want none", code)
 	}
 	if err := <-h.served; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve returned %v", err)
 	}
 	h.served <- nil // for the cleanup
 }
@@ -45,12 +45,12 @@
 // restart kills the front and starts one with another name at the same address.
 func (h *harness) restart(name string) {
 	h.t.Helper()
-	h.relay.SetBlocked(udprelay.ToClient, true) // killed: no CONNECTION_CLOSE arrives
+	h.relay.SetBlocked(udprelay.ToClient, true) // as after a kill: no CONNECTION_CLOSE arrives
 	h.stop()
 	if err := <-h.served; err != nil {
 		h.t.Fatal(err)
 	}
-	if err := h.relay.Rebind(); err != nil { // datagrams on their way are lost
+	if err := h.relay.Rebind(); err != nil { // datagrams in flight are lost
 		h.t.Fatal(err)
 	}
 	sameSocket, err := net.ListenPacket("udp", h.directAddress)
@@ -63,7 +63,7 @@
 	h.relay.SetBlocked(udprelay.ToClient, false)
 }
 
-// A front that is killed and restarted resets the connections of the process before, by a key that survives the
+// A front that is killed and restarted resets the connections of the earlier process, by a key that survives the
 // restart: clients need not wait for their idle timeout. Another instance's key ends none of them.
 func TestRestartedInstanceResetsItsConnections(t *testing.T) {
 	h := start(t, 0, func(o *Options) { o.Name = "till-1" })
@@ -86,7 +86,7 @@
 	client := (&http3.Transport{}).NewClientConn(conn)
 	out, err := client.RoundTrip(h.newRequest("GET", "read", ""))
 	if err != nil || out.StatusCode != 200 {
-		t.Fatalf("%v, %v", out, err)
+		t.Fatalf("first request: response %v, %v, want status 200", out, err)
 	}
 	out.Body.Close()
 	h.restart("till-2")
@@ -97,7 +97,7 @@
 		pending.Go(func() {
 			if out, err := client.RoundTrip(request); err == nil {
 				out.Body.Close()
-				t.Error("an unknown connection has carried a request")
+				t.Error("a request succeeded on a connection that the restarted instance does not know")
 			}
 		})
 	}
@@ -108,13 +108,13 @@
 		return sent > before+1
 	})
 	if conn.Context().Err() != nil {
-		t.Fatalf("another instance has ended a connection: %v", context.Cause(conn.Context()))
+		t.Fatalf("another instance has ended the connection: %v", context.Cause(conn.Context()))
 	}
 	h.restart("till-1")
 	sendRequest()
 	wait.Until(t, "the connection's end", func() bool { return conn.Context().Err() != nil })
 	if reset := (*quic.StatelessResetError)(nil); !errors.As(context.Cause(conn.Context()), &reset) {
-		t.Errorf("ended by %v", context.Cause(conn.Context()))
+		t.Errorf("the connection was ended by %v, want a stateless reset", context.Cause(conn.Context()))
 	}
 	pending.Wait()
 }
