--- a/cmd/pinedale-proxy/main_test.go
+++ b/cmd/pinedale-proxy/main_test.go
@@ -27,16 +27,16 @@
 // command returns a command that runs the program.
 func command(args ...string) *exec.Cmd { return testfleet.Command(programName, args...) }
 
-// configFile writes an operator's file and returns its path.
-func configFile(t *testing.T, text string) string {
+// writeConfig writes an operator's file and returns its path.
+func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "site.toml")
 	testfleet.WriteFile(t, path, text)
 	return path
 }
 
-// fileFor returns an operator's file with one server.
-func fileFor(address string) string {
+// fileWithServer returns an operator's file with one server.
+func fileWithServer(address string) string {
 	return fmt.Sprintf(`version = 1
 name = "t"
 site = "a"
@@ -60,7 +60,7 @@
 
 // Wrong arguments and invalid files are reported with exit code 1.
 func TestUsageErrorsAndInvalidFilesExitWithOne(t *testing.T) {
-	path := configFile(t, strings.Replace(fileFor("here"), "safe", "never", 1))
+	path := writeConfig(t, strings.Replace(fileWithServer("here"), "safe", "never", 1))
 	for _, test := range []struct {
 		args        []string
 		wantOutputs []string
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	testfleet.WriteFile(t, path, fileFor("127.0.0.1:1"))
+	testfleet.WriteFile(t, path, fileWithServer("127.0.0.1:1"))
 	out, err := command("check", "--config", path).CombinedOutput()
 	if err != nil || !bytes.Contains(out, []byte("good")) {
 		t.Errorf("a valid file: %v, %q", err, out)
@@ -95,7 +95,7 @@
 
 // check prints the table of classes and routes, explain why a request gets its route.
 func TestCheckPrintsTableAndExplainPrintsReasons(t *testing.T) {
-	path := configFile(t, fileFor("127.0.0.1:1")+`[[route]]
+	path := writeConfig(t, fileWithServer("127.0.0.1:1")+`[[route]]
 name = "prices"
 prefix = "/shop"
 class = "read"
@@ -165,7 +165,7 @@
 func TestServeReloadsOnHangupAndEndsOnTerm(t *testing.T) {
 	fleet := &fakebackend.Fleet{}
 	first, second := fleet.MustStart(t, "s-1", 0), fleet.MustStart(t, "s-2", 0)
-	path := configFile(t, fileFor(first.Address))
+	path := writeConfig(t, fileWithServer(first.Address))
 	process := testfleet.StartProcess(t, command("serve", "--config", path))
 	wait.Until(t, "the log of addresses", func() bool {
 		return process.Log.Find(`http=(\S+) http3=(\S+) ext_proc=(\S+)`) != nil
@@ -198,7 +198,7 @@
 		t.Errorf("after an invalid file: response %d", code)
 	}
 
-	testfleet.WriteFile(t, path, strings.Replace(fileFor(second.Address), "s-1", "s-2", 1))
+	testfleet.WriteFile(t, path, strings.Replace(fileWithServer(second.Address), "s-1", "s-2", 1))
 	process.Signal(syscall.SIGHUP)
 	wait.Until(t, "the log of the new file", func() bool {
 		return process.Log.Find("configuration reloaded") != nil
--- a/internal/app/agreement_test.go
+++ b/internal/app/agreement_test.go
@@ -22,7 +22,7 @@
 // have executed it.
 func startUnknownOutcomeCluster(t *testing.T, agree string) (*fakebackend.Fleet, []*Instance) {
 	t.Helper()
-	fleet := &fakebackend.Fleet{Faults: fakebackend.Faults{Error: 1}, Classes: dayClose()}
+	fleet := &fakebackend.Fleet{Faults: fakebackend.Faults{Error: 1}, Classes: dayCloseClasses()}
 	sections := fmt.Sprintf(dayCloseFormat, agree)
 	for n := range 8 {
 		sections += serverSection(fleet.MustStart(t, fmt.Sprint("s-", n), n/serversPerCell), 0)
@@ -53,7 +53,7 @@
 	defer cancel()
 	for n := range keyCount {
 		key := fmt.Sprint("key-", n)
-		statusCode := closeDay(ctx, t, instances[n%clusterSize], key+"-0", key)
+		statusCode := sendDayClose(ctx, t, instances[n%clusterSize], key+"-0", key)
 		if statusCode != http.StatusBadGateway {
 			t.Fatalf("%s: status %d, and every server fails", key, statusCode)
 		}
@@ -84,7 +84,7 @@
 	fleet, instances := startUnknownOutcomeCluster(t, "never")
 	for n := range keyCount {
 		for attempt, instance := range instances {
-			closeDay(t.Context(), t, instance, fmt.Sprint(n, "-", attempt), fmt.Sprint("key-", n))
+			sendDayClose(t.Context(), t, instance, fmt.Sprint(n, "-", attempt), fmt.Sprint("key-", n))
 		}
 	}
 	if len(fleet.DuplicateEffects()) == 0 {
--- a/internal/app/cluster_test.go
+++ b/internal/app/cluster_test.go
@@ -46,8 +46,8 @@
 `
 )
 
-// dayClose returns the class of dayCloseFormat as the servers know it.
-func dayClose() []balancer.Class {
+// dayCloseClasses returns the class of dayCloseFormat for the servers.
+func dayCloseClasses() []balancer.Class {
 	return []balancer.Class{{
 		Name:        "day-close",
 		Idempotency: balancer.IdempotentWithKey,
@@ -83,8 +83,8 @@
 	return instances
 }
 
-// closeDay sends a request with an idempotency key to the HTTP/1.1 front of an instance and returns the status code.
-func closeDay(ctx context.Context, t *testing.T, instance *Instance, id, key string) int {
+// sendDayClose sends a request with an idempotency key to the HTTP/1.1 front of an instance and returns the status code.
+func sendDayClose(ctx context.Context, t *testing.T, instance *Instance, id, key string) int {
 	t.Helper()
 	url := "http://" + instance.HTTP.String() + "/day-close/x"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("pay"))
--- a/internal/app/drains_test.go
+++ b/internal/app/drains_test.go
@@ -25,7 +25,7 @@
 // startListedCluster starts a cluster and servers, and waits until each instance watches its list.
 func startListedCluster(t *testing.T) *listedCluster {
 	t.Helper()
-	c := &listedCluster{t: t, fleet: &fakebackend.Fleet{Classes: dayClose()}}
+	c := &listedCluster{t: t, fleet: &fakebackend.Fleet{Classes: dayCloseClasses()}}
 	for n := range 6 {
 		server := c.fleet.MustStart(t, fmt.Sprint("s-", n), n/serversPerCell)
 		c.servers = append(c.servers, server)
@@ -78,7 +78,7 @@
 	c.t.Helper()
 	id := c.requests
 	c.requests++
-	closeDay(c.t.Context(), c.t, c.instances[instance], fmt.Sprint("r-", id), fmt.Sprint("key-", id))
+	sendDayClose(c.t.Context(), c.t, c.instances[instance], fmt.Sprint("r-", id), fmt.Sprint("key-", id))
 }
 
 // The endpoint list of one instance stalls, and the two others learn that a server is draining: on their advisory,
--- a/internal/app/front_tls_test.go
+++ b/internal/app/front_tls_test.go
@@ -78,8 +78,8 @@
 	root, untrusted := ca.New(t, "root"), ca.New(t, "other")
 	i := startTLSFronts(t, root)
 	trusted := root.IssueFor(time.Hour, "clerk.example.org")
-	clerk := newTLSClient(t, clientTLS(t, root, trusted))
-	if statusCode, err := i.checkPrice(clerk, "https"); statusCode != http.StatusOK {
+	trustedClient := newTLSClient(t, clientTLS(t, root, trusted))
+	if statusCode, err := i.sendPriceCheck(trustedClient, "https"); statusCode != http.StatusOK {
 		t.Fatalf("a trusted client: status %d, %v", statusCode, err)
 	}
 	for _, test := range []struct {
@@ -91,17 +91,17 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			client := newTLSClient(t, clientTLS(t, root, test.presented))
-			if statusCode, err := i.checkPrice(client, "https"); err == nil {
+			if statusCode, err := i.sendPriceCheck(client, "https"); err == nil {
 				t.Errorf("status %d", statusCode)
 			}
 		})
 	}
 	i.files.WriteFile(i.files.Revoked, root.RevocationList(trusted.Leaf))
 	i.stores.reload()
-	if statusCode, err := i.checkPrice(clerk, "https"); statusCode != http.StatusForbidden {
+	if statusCode, err := i.sendPriceCheck(trustedClient, "https"); statusCode != http.StatusForbidden {
 		t.Errorf("revoked, on an established connection: status %d, %v", statusCode, err)
 	}
-	if statusCode, err := i.checkPrice(clerk, "https"); err == nil {
+	if statusCode, err := i.sendPriceCheck(trustedClient, "https"); err == nil {
 		t.Errorf("revoked, on a new connection: status %d", statusCode)
 	}
 }
@@ -114,8 +114,8 @@
 	if err := openStream(t, i.ExtProc.String(), trusted); err != nil {
 		t.Errorf("a trusted proxy: %v", err)
 	}
-	foreign := clientTLS(t, root, untrusted.IssueFor(time.Hour, "proxy.example.org"))
-	if openStream(t, i.ExtProc.String(), foreign) == nil {
+	untrustedTLS := clientTLS(t, root, untrusted.IssueFor(time.Hour, "proxy.example.org"))
+	if openStream(t, i.ExtProc.String(), untrustedTLS) == nil {
 		t.Error("a proxy of an untrusted root was admitted")
 	}
 }
--- a/internal/app/fronts.go
+++ b/internal/app/fronts.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	// atCapacityDivisor is the fraction of client connections from which on responses close theirs.
-	atCapacityDivisor = 3
-	// bodyMemoryDivisor is the fraction of the memory that request bodies may use in each HTTP front.
+	// keepAliveDivisor sets the keep-alive threshold: when more than 1/keepAliveDivisor of the permitted client
+	// connections have carried a request, responses close theirs.
+	keepAliveDivisor = 3
+	// bodyMemoryDivisor: request bodies in each HTTP front may use 1/bodyMemoryDivisor of the memory.
 	bodyMemoryDivisor = 8
-	// entryMemoryDivisor is the fraction of the memory that the external processor's entries may use.
+	// entryMemoryDivisor: the external processor's entries may use 1/entryMemoryDivisor of the memory.
 	entryMemoryDivisor = 8
 	// entryBytes is about the size of an entry: two names, a round and two attempts.
 	entryBytes = 1 << 10
-	// altSvcMaxAge is how long clients may remember that HTTP/3 is available (RFC 7838).
+	// altSvcMaxAge is how long clients may cache that HTTP/3 is available (RFC 7838).
 	altSvcMaxAge = time.Hour
-	// endMargin is added to the longest deadline when the HTTP/1.1 front ends: nothing kills the process.
-	endMargin = time.Second
+	// drainMargin is how long after the longest deadline the HTTP/1.1 front stops draining. It can be generous, since
+	// no platform kills the process.
+	drainMargin = time.Second
 )
 
 // maxBodyBytes bounds the request bodies that each HTTP front holds.
@@ -70,11 +72,11 @@
 	}
 	front := httpfront.New(i.engine, upstream, httpfront.Options{
 		Connections:        file.Limits.ClientConnections,
-		KeepAliveThreshold: file.Limits.ClientConnections / atCapacityDivisor,
+		KeepAliveThreshold: file.Limits.ClientConnections / keepAliveDivisor,
 		BodyBytes:          maxBodyBytes(file),
 		Parser:             i.parser,
 		AltSvc:             altSvc,
-		DrainTimeout:       func(longest time.Duration) time.Duration { return longest + endMargin },
+		DrainTimeout:       func(longest time.Duration) time.Duration { return longest + drainMargin },
 		Log:                i.log,
 	})
 	i.HTTP = listener.Addr()
--- a/internal/app/http3_test.go
+++ b/internal/app/http3_test.go
@@ -20,13 +20,13 @@
 const rotations = 20
 
 // startHTTP3 starts an instance with an HTTP/3 front, whose certificate is in a folder.
-func startHTTP3(t *testing.T, files *ca.Folder) *running {
+func startHTTP3(t *testing.T, files *ca.Folder) *testInstance {
 	t.Helper()
-	return startRunning(t, 0, priceClass, payClass, fmt.Sprintf(http3Format, files.Cert, files.Key))
+	return startTestInstance(t, 0, priceClass, payClass, fmt.Sprintf(http3Format, files.Cert, files.Key))
 }
 
-// checkPriceViaHTTP3 sends a price check to the HTTP/3 front, which must serve it.
-func (r *running) checkPriceViaHTTP3(client *http3.Transport) error {
+// sendPriceCheckViaHTTP3 sends a price check to the HTTP/3 front. It returns an error unless the status is 200.
+func (r *testInstance) sendPriceCheckViaHTTP3(client *http3.Transport) error {
 	request := newRequest(http.MethodGet, "https://"+r.HTTP3.String()+"/price-check/x", priceHeaders...)
 	statusCode, _, err := roundTrip(client.RoundTrip, request)
 	if err == nil && statusCode != http.StatusOK {
@@ -49,7 +49,7 @@
 	}
 	client := &http3.Transport{TLSClientConfig: pair.Client}
 	defer client.Close()
-	if err := r.checkPriceViaHTTP3(client); err != nil {
+	if err := r.sendPriceCheckViaHTTP3(client); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	requireServed := func(rotation int, condition string, client *http3.Transport) {
 		t.Helper()
-		if err := r.checkPriceViaHTTP3(client); err != nil {
+		if err := r.sendPriceCheckViaHTTP3(client); err != nil {
 			t.Fatalf("rotation %d, %s: %v", rotation, condition, err)
 		}
 	}
--- a/internal/app/instance_test.go
+++ b/internal/app/instance_test.go
@@ -120,17 +120,17 @@
 	return response.StatusCode, response.Header, nil
 }
 
-// running is an instance with two backends, one of each kind.
-type running struct {
+// testInstance is an instance with two backends, one of each kind.
+type testInstance struct {
 	*Instance
 	t        *testing.T
 	backends [2]*fakebackend.Server
 }
 
-// startRunning starts an instance with these sections of a file and two backends, and waits until it is ready.
-func startRunning(t *testing.T, serviceTime time.Duration, sections ...string) *running {
+// startTestInstance starts an instance with these sections of a file and two backends, and waits until it is ready.
+func startTestInstance(t *testing.T, serviceTime time.Duration, sections ...string) *testInstance {
 	t.Helper()
-	r := &running{t: t}
+	r := &testInstance{t: t}
 	fleet := &fakebackend.Fleet{ServiceTime: serviceTime}
 	for n := range r.backends {
 		r.backends[n] = fleet.MustStart(t, fmt.Sprint("s-", n), n)
@@ -143,7 +143,7 @@
 }
 
 // text returns an operator's file with these sections and the backends.
-func (r *running) text(sections ...string) string {
+func (r *testInstance) text(sections ...string) string {
 	text := fileHead + strings.Join(sections, "")
 	for n, backend := range r.backends {
 		text += serverSection(backend, n)
@@ -152,11 +152,11 @@
 }
 
 // reload replaces the file by one with these sections.
-func (r *running) reload(sections ...string) {
+func (r *testInstance) reload(sections ...string) {
 	r.t.Helper()
 	path := filepath.Join(r.t.TempDir(), "site.toml")
 	testfleet.WriteFile(r.t, path, r.text(sections...))
-	file, err := r.Next(path)
+	file, err := r.LoadNext(path)
 	if err == nil {
 		err = r.Reload(file)
 	}
@@ -167,7 +167,7 @@
 
 // do sends a request to the HTTP/1.1 front. It returns the status code 0 if there is no complete response. It may be
 // called on any goroutine.
-func (r *running) do(request *http.Request) (int, http.Header) {
+func (r *testInstance) do(request *http.Request) (int, http.Header) {
 	statusCode, header, err := roundTrip(http.DefaultClient.Do, request)
 	if err != nil {
 		r.t.Errorf("%s %s: %v", request.Method, request.URL, err)
@@ -176,17 +176,17 @@
 }
 
 // newRequest returns a request to the HTTP/1.1 front.
-func (r *running) newRequest(method, path string, headers ...string) *http.Request {
+func (r *testInstance) newRequest(method, path string, headers ...string) *http.Request {
 	return newRequest(method, "http://"+r.HTTP.String()+path, headers...)
 }
 
 // newPriceCheck returns a price check.
-func (r *running) newPriceCheck() *http.Request {
+func (r *testInstance) newPriceCheck() *http.Request {
 	return r.newRequest(http.MethodGet, "/price-check/x", priceHeaders...)
 }
 
 // newPayment returns a payment with an idempotency key of its own.
-func (r *running) newPayment() *http.Request {
+func (r *testInstance) newPayment() *http.Request {
 	return r.newRequest(http.MethodPost, "/stall-pay/x",
 		"X-Service-Class: stall-pay", "X-Time-Left-Ms: 2500", "Idempotency-Key: "+testfleet.NewRequestID())
 }
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -12,15 +12,17 @@
 // errEnded is the error of a reload after the engine has stopped.
 var errEnded = errors.New("the instance has ended")
 
-// Next loads a file that Reload is to take. Classes, routes and budgets that requests in flight may refer to keep
+// LoadNext loads a file for Reload. Classes, routes and budgets that requests in flight may refer to keep
 // their numbers.
-func (i *Instance) Next(path string) (*config.File, error) { return config.LoadNext(path, i.Table()) }
+func (i *Instance) LoadNext(path string) (*config.File, error) {
+	return config.LoadNext(path, i.Table())
+}
 
 // Table returns the table of classes and routes in use.
 func (i *Instance) Table() *policy.Table { return i.table.Load() }
 
 // Reload replaces classes, routes, pools, tenants, admission, names for verification and the source of membership by
-// those of a file that Next has read, and reads the files of all [[keys]] again. Requests in flight keep the rules
+// those of a file that LoadNext has read, and reads the files of all [[keys]] again. Requests in flight keep the rules
 // that they began with. All other settings stay as they were at the start. After an error nothing has changed.
 func (i *Instance) Reload(file *config.File) error {
 	err := errEnded
--- a/internal/app/reload_test.go
+++ b/internal/app/reload_test.go
@@ -25,7 +25,7 @@
 	if err != nil || len(badFiles) < minBadFiles {
 		t.Fatalf("%d bad files, %v", len(badFiles), err)
 	}
-	r := startRunning(t, time.Millisecond, priceClass, payClass)
+	r := startTestInstance(t, time.Millisecond, priceClass, payClass)
 	before := r.Table()
 	var clients sync.WaitGroup
 	var ended atomic.Bool
@@ -49,7 +49,7 @@
 		})
 	}
 	for _, path := range badFiles {
-		if file, err := r.Next(path); err == nil || file != nil {
+		if file, err := r.LoadNext(path); err == nil || file != nil {
 			t.Errorf("%s is accepted", path)
 		}
 	}
@@ -63,7 +63,7 @@
 // A reload removes the class of a request in flight: the request is completed by the rules that it began with, and
 // the next one is rejected. The class gets its number back when it returns, and another one when it is changed.
 func TestRequestInFlightKeepsRemovedClass(t *testing.T) {
-	r := startRunning(t, 300*time.Millisecond, priceClass, payClass)
+	r := startTestInstance(t, 300*time.Millisecond, priceClass, payClass)
 	inFlight := r.startRequest(r.newPayment())
 	classNumber := func() uint8 {
 		bounds, _ := r.Table().ClassBounds("stall-pay")
@@ -92,7 +92,7 @@
 
 // startRequest sends a request and returns once it is in flight; no other may be. The channel receives the status
 // code.
-func (r *running) startRequest(request *http.Request) <-chan int {
+func (r *testInstance) startRequest(request *http.Request) <-chan int {
 	r.t.Helper()
 	responded := make(chan int, 1)
 	go func() {
--- a/internal/app/routes_test.go
+++ b/internal/app/routes_test.go
@@ -25,7 +25,7 @@
 
 // Routes select the class of requests, whose headers need not name a class or a deadline.
 func TestRouteDecidesWhichRequestsAreServed(t *testing.T) {
-	r := startRunning(t, 0, priceClass, payClass, pricesSection("second", "k1"), `[[route]]
+	r := startTestInstance(t, 0, priceClass, payClass, pricesSection("second", "k1"), `[[route]]
 prefix = "/prices"
 headers = { X-Tier = "gold" }
 class = "stall-pay"
@@ -72,8 +72,8 @@
 // already.
 func TestRequestsGoToPoolOfRouteBeforeAndAfterReload(t *testing.T) {
 	// With the deadline as its latency objective: a machine that stalls must not have the requests rejected.
-	patientClass := strings.Replace(priceClass, `aim = "600ms"`, `aim = "3s"`, 1)
-	r := startRunning(t, 0, patientClass, payClass, pricesSection("second", "k1"))
+	longObjectiveClass := strings.Replace(priceClass, `aim = "600ms"`, `aim = "3s"`, 1)
+	r := startTestInstance(t, 0, longObjectiveClass, payClass, pricesSection("second", "k1"))
 	requireRequestsToBackend := func(inPool, outside int) {
 		t.Helper()
 		start := time.Now()
@@ -87,6 +87,6 @@
 		}
 	}
 	requireRequestsToBackend(1, 0)
-	r.reload(patientClass, pricesSection("other", "k0"))
+	r.reload(longObjectiveClass, pricesSection("other", "k0"))
 	requireRequestsToBackend(0, 1)
 }
--- a/internal/app/tenants_test.go
+++ b/internal/app/tenants_test.go
@@ -11,7 +11,7 @@
 
 // Each tenant has its own limit, and a request over it is rejected at once with Retry-After.
 func TestTenantAboveItsLimitIsRejectedAtOnce(t *testing.T) {
-	r := startRunning(t, 300*time.Millisecond, priceClass, payClass, `[[tenant]]
+	r := startTestInstance(t, 300*time.Millisecond, priceClass, payClass, `[[tenant]]
 name = "duka"
 weight = 1
 open = 1
--- a/internal/app/tls_instance_test.go
+++ b/internal/app/tls_instance_test.go
@@ -78,8 +78,8 @@
 	return i
 }
 
-// checkPrice sends a price check to the HTTP/1.1 front and returns the status code.
-func (i *tlsInstance) checkPrice(client *http.Client, scheme string) (int, error) {
+// sendPriceCheck sends a price check to the HTTP/1.1 front and returns the status code.
+func (i *tlsInstance) sendPriceCheck(client *http.Client, scheme string) (int, error) {
 	request := newRequest(http.MethodGet, scheme+"://"+i.HTTP.String()+"/price-check/x", priceHeaders...)
 	statusCode, _, err := roundTrip(client.Do, request)
 	return statusCode, err
--- a/internal/app/upstream.go
+++ b/internal/app/upstream.go
@@ -13,8 +13,8 @@
 	"pinedale/internal/upstream/secure"
 )
 
-// minInstanceHandshakes is the handshakes a second that an instance may have with one server, however many instances
-// share the budget: with fewer it could not replace broken connections.
+// minInstanceHandshakes is the least number of handshakes a second that an instance may have with one server, however
+// many instances share the budget: with fewer it could not replace broken connections.
 const minInstanceHandshakes = 1
 
 // handshakeBudget returns this instance's quota of the handshakes that a server may have.
@@ -30,7 +30,7 @@
 	return all.Share(file.Fleet.Instances, minInstanceHandshakes)
 }
 
-// newSecureClient returns what performs the upstream's TLS handshakes, nil for plain text.
+// newSecureClient returns the client that performs the upstream's TLS handshakes, nil for plain text.
 func newSecureClient(file *config.File, open stores, log *slog.Logger) (*secure.Client, error) {
 	if file.Upstream.Keys == "" {
 		return nil, nil
@@ -45,22 +45,23 @@
 	})
 }
 
-// newUpstream returns what sends requests to servers, and the function that closes it. security is nil for plain text.
-func newUpstream(file *config.File, security *secure.Client) (engine.Upstream, func() error, error) {
+// newUpstream returns the upstream, which sends requests to servers, and the function that closes it. tlsClient is nil
+// for plain text.
+func newUpstream(file *config.File, tlsClient *secure.Client) (engine.Upstream, func() error, error) {
 	options := httpupstream.Options{
 		DialTimeout: time.Duration(file.Limits.DialTimeout),
 		Idle:        time.Duration(file.Limits.IdleTimeout),
 		Connections: file.Limits.UpstreamConnections,
 		Fields:      file.Fleet.LoadFields,
 	}
-	if security != nil {
-		options.Secure = security
+	if tlsClient != nil {
+		options.Secure = tlsClient
 	}
 	if !file.Upstream.HTTP3 {
 		return httpupstream.New(options), func() error { return nil }, nil
 	}
 	byProtocol, err := byprotocol.New(options, http3upstream.Options{
-		Secure:      security,
+		Secure:      tlsClient,
 		DialTimeout: time.Duration(file.Upstream.HandshakeTimeout),
 		Idle:        options.Idle,
 		Connections: options.Connections,
--- a/internal/app/upstream_tls_test.go
+++ b/internal/app/upstream_tls_test.go
@@ -35,7 +35,7 @@
 				i := startTLSInstance(t, root, [2]*ca.Pair{test.presented, root.IssueFor(time.Hour, "s-1.example.org")},
 					fmt.Sprintf(upstreamKeysFormat, protocol.http3))
 				for n := range requests {
-					if statusCode, err := i.checkPrice(http.DefaultClient, "http"); statusCode != http.StatusOK {
+					if statusCode, err := i.sendPriceCheck(http.DefaultClient, "http"); statusCode != http.StatusOK {
 						t.Fatalf("request %d: status %d, %v", n, statusCode, err)
 					}
 				}
@@ -74,7 +74,7 @@
 	i := startExpiredFleet(t, "")
 	for range 5 {
 		start := time.Now()
-		statusCode, err := i.checkPrice(http.DefaultClient, "http")
+		statusCode, err := i.sendPriceCheck(http.DefaultClient, "http")
 		took := time.Since(start)
 		if statusCode != http.StatusServiceUnavailable && statusCode != http.StatusBadGateway || took > maxTime {
 			t.Errorf("status %d, %v after %v", statusCode, err, took)
@@ -90,14 +90,14 @@
 	t.Run("expired within the grace", func(t *testing.T) {
 		i := startExpiredFleet(t, `peers_over = "2h"`)
 		for range 5 {
-			if statusCode, err := i.checkPrice(http.DefaultClient, "http"); statusCode != http.StatusOK {
+			if statusCode, err := i.sendPriceCheck(http.DefaultClient, "http"); statusCode != http.StatusOK {
 				t.Errorf("status %d, %v", statusCode, err)
 			}
 		}
 	})
 	t.Run("expired for longer than the grace", func(t *testing.T) {
 		i := startExpiredFleet(t, `peers_over = "30m"`)
-		if statusCode, _ := i.checkPrice(http.DefaultClient, "http"); statusCode == http.StatusOK {
+		if statusCode, _ := i.sendPriceCheck(http.DefaultClient, "http"); statusCode == http.StatusOK {
 			t.Error("a request was served")
 		}
 	})
