--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -10,23 +10,23 @@
 	"pinedale/internal/tomlfile"
 )
 
-// fileVersion is the form of the file that this program reads.
+// fileVersion is the version of the file format that this program reads.
 const fileVersion = 1
 
 // checker records every error of a file.
 type checker struct {
 	*tomlfile.File
 	file     *File
-	previous *policy.Table // in use, nil at the start
+	previous *policy.Table // the table in use, nil at the start
 }
 
 // checkFile checks all sections. Checks that read other files come after those of plain values.
 func (c *checker) checkFile() {
 	file := c.file
 	c.Require(file.Version == fileVersion, "version",
-		"%d is not a known version of this file; this program reads %d", file.Version, fileVersion)
+		"%d is not a known version of the file format; this program reads version %d", file.Version, fileVersion)
 	c.Require(file.HTTP.Listen != "" || file.HTTP3.Listen != "" || file.ExtProc.Listen != "", "http.listen",
-		"no front is switched on: set this, http3.listen or ext_proc.listen")
+		"no front is switched on: set http.listen, http3.listen or ext_proc.listen")
 	c.checkHTTP3()
 	c.checkKeys()
 	c.checkUpstream()
@@ -41,7 +41,7 @@
 	c.checkSettings()
 }
 
-// checkSettings has the balancer check its settings, if no error was found before.
+// checkSettings has the balancer check its settings if no error has been found so far.
 func (c *checker) checkSettings() {
 	if !c.Valid() {
 		return
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -5,7 +5,7 @@
 //   - check.go and the check methods in section_*.go: every error of a file, with line and key. A file with an
 //     error is not used at all.
 //   - settings.go: the settings that follow from a valid file.
-//   - summary.go, keys_report.go and version.go: what programs print of a valid file.
+//   - summary.go, keys_report.go and version.go: what programs print about a valid file.
 //
-// Package app builds and runs what a file asks for.
+// Package app builds and runs what a file configures.
 package config
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -13,7 +13,7 @@
 // minBadFiles is less than the number of files in testdata/bad.
 const minBadFiles = 150
 
-// hasError reports whether one line of the errors of a file names this line of the file, 0 for none, and contains all
+// hasError reports whether one line of the errors of a file begins with this line number, 0 for none, and contains all
 // texts.
 func hasError(err error, line int, texts ...string) bool {
 	prefix := fmt.Sprintf("line %d: ", line)
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -8,9 +8,9 @@
 	"pinedale/internal/upstream/secure"
 )
 
-// Types that all files of this form share.
+// Types of package tomlfile that are part of this package's API.
 type (
-	// Duration is written with its unit.
+	// Duration is a duration that a file writes with its unit, such as "250ms".
 	Duration = tomlfile.Duration
 	// FileError is an error of the file with its line and key.
 	FileError = tomlfile.Error
@@ -18,7 +18,7 @@
 
 // File is the operator's file as written. Load and Parse return it checked.
 type File struct {
-	Version int    `toml:"version"` // of the file's form
+	Version int    `toml:"version"` // of the file format
 	Name    string `toml:"name"`    // of this instance
 	Site    string `toml:"site"`    // where this instance runs, one of Fleet.Sites
 
@@ -46,7 +46,7 @@
 	warnings []*FileError
 }
 
-// Warnings returns what is valid in the file but probably a mistake.
+// Warnings returns the settings of the file that are valid but probably a mistake.
 func (f *File) Warnings() []*FileError { return f.warnings }
 
 // Table returns the compiled classes and routes.
@@ -66,7 +66,7 @@
 	return longest
 }
 
-// VerifyNames returns the names by which servers are verified.
+// VerifyNames returns the names that servers' certificates must be valid for.
 func (f *File) VerifyNames() *secure.Names {
 	names := &secure.Names{Pattern: f.Upstream.VerifyPattern, ByServer: map[string]string{}}
 	for _, s := range f.Servers {
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// A subset is large enough for retries within each site, and is chosen by the name of the instance.
+// A subset is at least large enough for retries within each site, and fleet.subset_spread has bounds.
 func TestSubsetBounds(t *testing.T) {
 	example := readExample(t)
 	for _, test := range []struct{ name, keys, reason string }{
--- a/internal/config/keys_report.go
+++ b/internal/config/keys_report.go
@@ -17,8 +17,8 @@
 	"pinedale/internal/certstore/validate"
 )
 
-// ShowKeys writes what the files of each [[keys]] entry hold, what uses it, and by which name each server is
-// verified. It never writes a private key.
+// ShowKeys writes what the files of each [[keys]] entry contain, what uses the entry, and for which name each server's
+// certificate must be valid. It never writes a private key.
 func (f *File) ShowKeys(out io.Writer, now time.Time) error {
 	for i := range f.Keys {
 		if err := f.showKeysEntry(out, &f.Keys[i], now); err != nil {
@@ -28,7 +28,7 @@
 	return f.showServerNames(out)
 }
 
-// showKeysEntry writes what the files of one [[keys]] entry hold.
+// showKeysEntry writes what the files of one [[keys]] entry contain.
 func (f *File) showKeysEntry(out io.Writer, keys *Keys, now time.Time) error {
 	material, err := certstore.Read(keys.paths())
 	if err != nil {
@@ -63,17 +63,17 @@
 	return nil
 }
 
-// showServerNames writes the names by which servers are verified.
+// showServerNames writes the names that servers' certificates must be valid for.
 func (f *File) showServerNames(out io.Writer) error {
 	if f.Upstream.Keys == "" {
-		fmt.Fprintln(out, "servers are spoken to in plain text")
+		fmt.Fprintln(out, "connections to servers are plain text")
 		return nil
 	}
 	names := f.VerifyNames()
 	for _, s := range f.Servers {
 		name, err := names.CertificateName(s.Name)
 		if err != nil {
-			return err // unexpected: the file was checked
+			return err // not expected: the file has passed its checks
 		}
 		fmt.Fprintf(out, "server %q must be %s\n", s.Name, name)
 	}
@@ -88,7 +88,7 @@
 func (f *File) VerifyKeys(name string, replacement certstore.Paths) error {
 	index := slices.IndexFunc(f.Keys, func(k Keys) bool { return k.Name == name })
 	if index < 0 {
-		return fmt.Errorf("%q is not the name of a [[keys]] of this file", name)
+		return fmt.Errorf("%q is not the name of a [[keys]] entry of the file", name)
 	}
 	keys := f.Keys[index]
 	keys.CertFile = cmp.Or(replacement.Cert, keys.CertFile)
@@ -99,7 +99,7 @@
 	return err
 }
 
-// formatRemaining formats a remaining validity: in days from two days on.
+// formatRemaining formats a remaining validity, as days if it is at least two days.
 func formatRemaining(remaining time.Duration) string {
 	const day = 24 * time.Hour
 	if remaining < 2*day {
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -11,7 +11,7 @@
 	"pinedale/internal/standin/ca"
 )
 
-// keysHead is a file whose fronts and upstream use TLS, but for its [[keys]].
+// keysHead is a file whose fronts and upstream use TLS, without its [[keys]] entries.
 const keysHead = `version = 1
 name = "a"
 site = "a"
@@ -43,7 +43,8 @@
 pod = 1
 `
 
-// keysFormat has the [[keys]] of keysHead. Its verbs are the roots, the revocation list, the certificate and its key.
+// keysFormat has the [[keys]] entries for keysHead. Its verbs are the roots, the revocation list, the certificate and
+// its key.
 const keysFormat = `[[keys]]
 name = "fleet"
 roots_file = %q
@@ -75,7 +76,8 @@
 	return keysHead + fmt.Sprintf(keysFormat, files.Roots, files.Revoked, files.Cert, files.Key), files
 }
 
-// Errors of the keys sections name the key of the file and the reason. None of them contains a private key.
+// Errors of [[keys]] entries and of the settings that refer to them name the key of the file and the reason. None of
+// them contains a private key.
 func TestKeysErrorsNameKeyAndReason(t *testing.T) {
 	text, files := newKeysFile(t, ca.New(t, "root"))
 	const (
@@ -142,7 +144,7 @@
 	}
 }
 
-// Errors of the HTTP/3 section name the key of the file.
+// Errors of the [http3] section name the key of the file.
 func TestHTTP3ErrorsNameKey(t *testing.T) {
 	files := ca.NewFolder(t)
 	files.WritePair(ca.New(t, "root").IssueFor(time.Hour, "127.0.0.1"))
@@ -190,7 +192,7 @@
 	}
 }
 
-// Files are accepted in place of those of a [[keys]] entry if they could serve as well.
+// Files are accepted in place of those of a [[keys]] entry only if a certificate store would accept them.
 func TestVerifyKeysAcceptsOnlyFilesThatCouldServe(t *testing.T) {
 	root := ca.New(t, "root")
 	text, _ := newKeysFile(t, root)
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -17,8 +17,8 @@
 // Parse is Load for the text of a file.
 func Parse(data []byte) (*File, error) { return parse(data, nil) }
 
-// LoadNext is Load for a file that replaces another one in service. Classes, routes and budgets of inUse, to which
-// requests in flight may refer, keep their numbers.
+// LoadNext is Load for a file that replaces the one in use. Classes, routes and budgets of the table inUse keep their
+// numbers, to which requests in flight may refer.
 func LoadNext(path string, inUse *policy.Table) (*File, error) { return load(path, inUse) }
 
 // load reads and checks a file. previous is the table in use, nil at the start.
--- a/internal/config/read_test.go
+++ b/internal/config/read_test.go
@@ -23,7 +23,7 @@
 
 func TestMissingFileIsRejected(t *testing.T) {
 	if _, err := Load(filepath.Join(t.TempDir(), "site.toml")); err == nil {
-		t.Error("a missing file is no error")
+		t.Error("a missing file is accepted")
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// Truncated anywhere, a file is either invalid or a shorter valid one; nothing panics.
+// A file that is truncated at any byte is either invalid or a shorter valid one, and does not cause a panic.
 func TestTruncatedFileIsInvalidOrShorter(t *testing.T) {
 	text := []byte(readExample(t))
 	for length := range text {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Any input is accepted completely or rejected with a reason.
+// Any input is either accepted, or rejected with a reason.
 func FuzzFile(f *testing.F) {
 	f.Add([]byte(goodFile))
 	f.Add([]byte(goodFile[:200]))
--- a/internal/config/section_class.go
+++ b/internal/config/section_class.go
@@ -27,8 +27,8 @@
 	"pod":  balancer.GroupCell,
 }
 
-// Timing is what a class and a route may say of deadlines, retries and hedged requests; a route's values replace
-// those of its class. It is part of the file's version: see versionText before any change.
+// Timing holds the settings of deadlines, retries and hedged requests that a class and a route may have; a route's
+// values replace those of its class. It is part of the file's version: see versionText before any change.
 type Timing struct {
 	Deadline       Duration `toml:"deadline" json:"Deadline"`
 	AttemptTimeout Duration `toml:"try_for" json:"TryFor"`
@@ -43,8 +43,8 @@
 type Class struct {
 	Name             string   `toml:"name" json:"Name"`
 	Idempotency      string   `toml:"repeat" json:"Repeat"` // a key of idempotencies
-	Group            string   `toml:"group" json:"Group"`   // of servers that share their keys, of groups
-	DedupWindow      Duration `toml:"window" json:"Window"` // for which servers remember a key
+	Group            string   `toml:"group" json:"Group"`   // servers that share idempotency keys, a key of groups
+	DedupWindow      Duration `toml:"window" json:"Window"` // for which servers keep an idempotency key
 	LatencyObjective Duration `toml:"aim" json:"Aim"`
 	PriorityWeight   *float64 `toml:"worth" json:"Worth"`          // 1 if not set
 	LateWeightRatio  float64  `toml:"late_worth" json:"LateWorth"` // of the weight, after the latency objective
@@ -63,16 +63,16 @@
 // checkClasses checks the [[class]] entries. checkPolicy checks their timing.
 func (c *checker) checkClasses() {
 	classes := c.file.Classes
-	c.Require(len(classes) > 0, "class", "no class is there")
-	c.Require(len(classes) <= maxClasses, "class", "%d classes, at most %d", len(classes), maxClasses)
+	c.Require(len(classes) > 0, "class", "at least one [[class]] is required")
+	c.Require(len(classes) <= maxClasses, "class", "%d classes, but at most %d are allowed", len(classes), maxClasses)
 	seen := map[string]bool{}
 	for i := range classes {
 		class := &classes[i]
 		prefix := fmt.Sprintf("class[%d].", i)
 		// The name is the first part of the path and the value of a header.
 		c.Require(class.Name != "" && !strings.ContainsAny(class.Name, "/?# \t\r\n"), prefix+"name",
-			"%q can't be the first part of a path", class.Name)
-		c.Require(!seen[class.Name], prefix+"name", "%q is there twice", class.Name)
+			"%q cannot be the first part of a path: it must not be empty or contain /, ?, # or white space", class.Name)
+		c.Require(!seen[class.Name], prefix+"name", "%q is used twice", class.Name)
 		seen[class.Name] = true
 		_, known := idempotencies[class.Idempotency]
 		c.Require(known, prefix+"repeat", "%q is not one of %s", class.Idempotency, knownNames(idempotencies))
@@ -93,20 +93,20 @@
 		"%v is over %v", deadline, requestmeta.MaxRequestTime)
 	c.Require(class.PriorityWeight == nil || *class.PriorityWeight >= 0, prefix+"worth", "is negative")
 	c.Require(class.LateWeightRatio >= 0 && class.LateWeightRatio <= 1, prefix+"late_worth",
-		"%v is not in 0 to 1", class.LateWeightRatio)
+		"%v is not in the range 0 to 1", class.LateWeightRatio)
 }
 
-// checkDedup checks the keys that only a class with idempotency keys has, and must have.
+// checkDedup checks class.group and class.window, which a class with idempotency keys must set, and no other class may.
 func (c *checker) checkDedup(prefix string, class *Class) {
 	window := time.Duration(class.DedupWindow)
 	if idempotencies[class.Idempotency] != balancer.IdempotentWithKey {
-		c.Require(class.Group == "", prefix+"group", "%q: only a keyed class has one", class.Group)
-		c.Require(window == 0, prefix+"window", "%v: only a keyed class has one", window)
+		c.Require(class.Group == "", prefix+"group", "%q is set, but only a keyed class has a group", class.Group)
+		c.Require(window == 0, prefix+"window", "%v is set, but only a keyed class has a window", window)
 		return
 	}
 	_, known := groups[class.Group]
-	c.Require(known, prefix+"group", "%q is not one of %s: a keyed class needs to say who drops its repeats",
+	c.Require(known, prefix+"group", "%q is not one of %s: a keyed class must name the servers that share its keys",
 		class.Group, knownNames(groups))
 	c.Require(window > 0, prefix+"window",
-		"%v: a keyed class needs the time for which its repeats are dropped", window)
+		"%v is not positive: a keyed class needs the time for which servers drop duplicate requests", window)
 }
--- a/internal/config/section_fleet.go
+++ b/internal/config/section_fleet.go
@@ -35,12 +35,12 @@
 	LoadFields       []string `toml:"reports"`   // fields of the servers' load reports
 	DrainGrace       Duration `toml:"drain_grace"`
 	DrainTime        Duration `toml:"drain_for"`     // after which a draining server stops, 0 if not known
-	SlowStartRatio   float64  `toml:"cold_from"`     // of its capacity that a started server has
+	SlowStartRatio   float64  `toml:"cold_from"`     // fraction of its capacity that a started server has at first
 	SlowStartTime    Duration `toml:"warm_within"`   // until a started server has its full capacity
-	OverloadMultiple float64  `toml:"fall_factor"`   // of its capacity under which a server fails
-	OverloadTime     Duration `toml:"fall_after"`    // for which it must be sent that
-	MinSubset        int      `toml:"subset"`        // servers that this instance uses at least, 0 for all
-	SubsetSpread     float64  `toml:"subset_spread"` // further servers for each request in flight
+	OverloadMultiple float64  `toml:"fall_factor"`   // load that makes a server fail, as a multiple of its capacity
+	OverloadTime     Duration `toml:"fall_after"`    // how long that load must last until the server fails
+	MinSubset        int      `toml:"subset"`        // min servers that this instance uses, 0 for the whole fleet
+	SubsetSpread     float64  `toml:"subset_spread"` // additional servers for each request in flight
 }
 
 func defaultFleet() Fleet {
@@ -78,21 +78,21 @@
 
 // checkNames checks the number and the uniqueness of names.
 func (c *checker) checkNames(key string, names []string) {
-	c.Require(len(names) <= maxNames, key, "%d names, at most %d", len(names), maxNames)
+	c.Require(len(names) <= maxNames, key, "%d names, but at most %d are allowed", len(names), maxNames)
 	for i, name := range names {
 		c.Require(name != "", key, "name %d is empty", i+1)
-		c.Require(!slices.Contains(names[:i], name), key, "%q is there twice", name)
+		c.Require(!slices.Contains(names[:i], name), key, "%q is listed twice", name)
 	}
 }
 
-// checkSubset checks the keys of subsetting.
+// checkSubset checks fleet.subset and fleet.subset_spread.
 func (c *checker) checkSubset() {
 	fleet := &c.file.Fleet
 	minimum := minSubsetPerSite * max(1, len(fleet.Sites))
 	c.Require(fleet.MinSubset == 0 || fleet.MinSubset >= minimum && fleet.MinSubset <= maxServers, "fleet.subset",
-		"%d is not 0 (the whole fleet) or %d to %d", fleet.MinSubset, minimum, maxServers)
+		"%d is neither 0 (the whole fleet) nor in the range %d to %d", fleet.MinSubset, minimum, maxServers)
 	c.Require(fleet.SubsetSpread >= 0 && fleet.SubsetSpread <= maxSubsetSpread, "fleet.subset_spread",
-		"%v is not in 0 to %d", fleet.SubsetSpread, maxSubsetSpread)
+		"%v is not in the range 0 to %d", fleet.SubsetSpread, maxSubsetSpread)
 	c.Require(fleet.MinSubset == 0 || c.file.Name != "", "name",
-		"is missing: by it an instance chooses its part of the fleet")
+		"is missing: an instance chooses its subset of the fleet by its name")
 }
--- a/internal/config/section_http3.go
+++ b/internal/config/section_http3.go
@@ -19,7 +19,7 @@
 	http3 := &c.file.HTTP3
 	c.Require(http3.MaxConnections >= 1, "http3.connections", "%d is not positive", http3.MaxConnections)
 	c.Require(http3.MaxStreams >= 1 && http3.MaxStreams <= maxHTTP3Streams, "http3.streams",
-		"%d is not in 1 to %d", http3.MaxStreams, maxHTTP3Streams)
+		"%d is not in the range 1 to %d", http3.MaxStreams, maxHTTP3Streams)
 	if http3.Listen != "" {
 		c.requireAddress("http3.listen", http3.Listen)
 		c.Require(http3.Keys != "", "http3.keys", "is missing: HTTP/3 needs a certificate")
--- a/internal/config/section_keys.go
+++ b/internal/config/section_keys.go
@@ -18,7 +18,7 @@
 	minRSABits = 2048
 	// maxRSABits bounds keys.least_rsa.
 	maxRSABits = 16384
-	// defaultReplacementTime is the default of replace_within: operators who replace keys wait a minute anyway.
+	// defaultReplacementTime is the default of keys.replace_within: operators who replace keys wait a minute anyway.
 	defaultReplacementTime = time.Minute
 	// maxPeerExpiryGrace bounds how long expired certificates of peers may be accepted in an emergency.
 	maxPeerExpiryGrace = 30 * 24 * time.Hour
@@ -27,7 +27,7 @@
 // tlsVersions are the values of keys.least_tls. Versions before 1.2 are deprecated (RFC 8996).
 var tlsVersions = map[string]uint16{"": tls.VersionTLS13, "1.3": tls.VersionTLS13, "1.2": tls.VersionTLS12}
 
-// Keys is a [[keys]] entry: an identity and the roots it trusts. Fronts and the upstream refer to one each by name.
+// Keys is a [[keys]] entry: an identity and the roots it trusts. Each front and the upstream refer to one by its name.
 type Keys struct {
 	Name            string   `toml:"name"`
 	CertFile        string   `toml:"cert_file"`
@@ -46,8 +46,8 @@
 type KeyUser struct {
 	Key     string // as the file writes it
 	Entry   string // name of the [[keys]] entry, "" if it is not set
-	Enabled bool   // the front is switched on
-	Server  bool   // it presents the certificate as a server, otherwise as a client
+	Enabled bool   // the front that the key belongs to is switched on
+	Server  bool   // the certificate is presented as a server's, otherwise as a client's
 }
 
 // KeyUsers returns all keys of the file that refer to a [[keys]] entry.
@@ -98,7 +98,7 @@
 	used := c.checkKeyUsers()
 	for i := range c.file.Keys {
 		if name := c.file.Keys[i].Name; name != "" && !used[name] {
-			c.Warn(fmt.Sprintf("keys[%d].name", i), "nothing uses them")
+			c.Warn(fmt.Sprintf("keys[%d].name", i), "neither a front nor the upstream uses these keys")
 		}
 	}
 }
@@ -109,40 +109,40 @@
 	keys := &c.file.Keys[index]
 	prefix := fmt.Sprintf("keys[%d].", index)
 	c.Require(keys.Name != "", prefix+"name", "is missing")
-	c.Require(!seen[keys.Name], prefix+"name", "%q is there twice", keys.Name)
+	c.Require(!seen[keys.Name], prefix+"name", "%q is used twice", keys.Name)
 	seen[keys.Name] = true
 	c.checkKeyPaths(prefix, keys)
 	c.checkKeyRequirements(prefix, keys)
 	if keys.AllowExpired || keys.PeerExpiryGrace > 0 {
-		c.Warn(prefix+"name", "takes certificates whose time is over: meant for an emergency")
+		c.Warn(prefix+"name", "accepts expired certificates, which is meant for emergencies only")
 	}
 	if c.Valid() {
 		c.checkKeyFiles(prefix, keys)
 	}
 }
 
-// checkKeyPaths checks which files are named together.
+// checkKeyPaths checks which files are set together.
 func (c *checker) checkKeyPaths(prefix string, keys *Keys) {
 	c.Require((keys.CertFile == "") == (keys.KeyFile == ""), prefix+"key_file",
-		"a certificate and its key are named together, or neither is")
+		"cert_file and key_file must be set together")
 	c.Require(keys.CertFile != "" || keys.RootsFile != "", prefix+"cert_file",
-		"neither a certificate nor roots are named")
+		"neither cert_file nor roots_file is set")
 	c.Require(keys.RevokedFile == "" || keys.RootsFile != "", prefix+"revoked_file",
-		"is signed by a root, and no roots_file is named")
+		"a revocation list is signed by a root, but no roots_file is set")
 	c.Require(keys.CertFile != "" || len(keys.Names) == 0, prefix+"names",
-		"are of a certificate, and no cert_file is named")
+		"names must be in the certificate, but no cert_file is set")
 }
 
 // checkKeyRequirements checks what is required of certificates.
 func (c *checker) checkKeyRequirements(prefix string, keys *Keys) {
 	bits := keys.MinRSABits
 	c.Require(bits == 0 || bits >= minRSABits && bits <= maxRSABits, prefix+"least_rsa",
-		"%d is not in %d to %d", bits, minRSABits, maxRSABits)
+		"%d is not in the range %d to %d", bits, minRSABits, maxRSABits)
 	_, ok := tlsVersions[keys.MinTLSVersion]
 	c.Require(ok, prefix+"least_tls", "%q is neither 1.3 nor 1.2", keys.MinTLSVersion)
 	grace := time.Duration(keys.PeerExpiryGrace)
 	c.Require(grace >= 0 && grace <= maxPeerExpiryGrace, prefix+"peers_over",
-		"%v is not in 0s to %v", grace, maxPeerExpiryGrace)
+		"%v is not in the range 0s to %v", grace, maxPeerExpiryGrace)
 	c.Require(keys.ReplacementTime >= 0, prefix+"replace_within",
 		"%v is negative", time.Duration(keys.ReplacementTime))
 	for _, name := range keys.Names {
@@ -151,7 +151,7 @@
 	}
 }
 
-// checkKeyFiles checks that the files may serve.
+// checkKeyFiles checks that a certificate store accepts the files.
 func (c *checker) checkKeyFiles(prefix string, keys *Keys) {
 	options := keys.StoreOptions(c.file.usedByFront(keys.Name), slog.New(slog.DiscardHandler))
 	_, err := certstore.Open(options)
@@ -166,7 +166,7 @@
 	c.Require(false, prefix+key, "%v", err)
 }
 
-// checkKeyUsers checks the references to [[keys]] entries and returns the names that are in use.
+// checkKeyUsers checks the references to [[keys]] entries and returns the names of the entries in use.
 func (c *checker) checkKeyUsers() map[string]bool {
 	file := c.file
 	used := map[string]bool{}
@@ -176,19 +176,19 @@
 			continue
 		}
 		used[name] = true
-		c.Require(user.Enabled, user.Key, "%q is named for a front that is not switched on", name)
+		c.Require(user.Enabled, user.Key, "%q is set for a front that is not switched on", name)
 		index := slices.IndexFunc(file.Keys, func(k Keys) bool { return k.Name == name })
-		c.Require(index >= 0, user.Key, "%q is not the name of a [[keys]] of this file", name)
+		c.Require(index >= 0, user.Key, "%q is not the name of a [[keys]] entry of the file", name)
 		if index < 0 {
 			continue
 		}
 		c.Require(!user.Server || file.Keys[index].CertFile != "", user.Key,
-			"%q has no certificate, and a front must show one", name)
+			"%q has no certificate, which a front must present", name)
 		c.Require(!user.Server || name != file.Upstream.Keys, user.Key,
-			"%q are upstream.keys, too: a server's certificate and a client's are judged apart, "+
-				"give each a [[keys]] of its own", name)
+			"%q is also used by upstream.keys: certificates of servers and of clients are checked differently, "+
+				"so each needs a [[keys]] entry of its own", name)
 		c.Require(user.Server || file.Keys[index].RootsFile != "", user.Key,
-			"%q has no roots_file, and servers cannot be verified without", name)
+			"%q has no roots_file, without which servers cannot be verified", name)
 	}
 	return used
 }
--- a/internal/config/section_limits.go
+++ b/internal/config/section_limits.go
@@ -23,7 +23,7 @@
 	DialTimeout         Duration `toml:"dial_timeout" json:"DialTimeout"`
 	IdleTimeout         Duration `toml:"idle_timeout" json:"IdleTimeout"` // of connections to servers
 	TimerSlack          Duration `toml:"timer_slack" json:"TimerSlack"`   // by which timers may fire late
-	ClockDrift          float64  `toml:"clock_error" json:"ClockError"`   // by which two clocks may diverge, a ratio
+	ClockDrift          float64  `toml:"clock_error" json:"ClockError"`   // max relative difference of two clocks' rates
 	AdmitRate           float64  `toml:"admit_rate" json:"AdmitRate"`     // requests a second, 0 for no limit
 }
 
@@ -62,7 +62,7 @@
 		c.Require(limit.value >= 1, limit.key, "%d is not positive", limit.value)
 	}
 	c.Require(limits.MaxAttempts >= 1 && limits.MaxAttempts <= maxAttempts, "limits.attempts",
-		"%d is not in 1 to %d: no request may be sent more often", limits.MaxAttempts, maxAttempts)
+		"%d is not in the range 1 to %d: no request may be sent more often", limits.MaxAttempts, maxAttempts)
 	c.Require(limits.MaxRetryAfter >= 0, "limits.retry_after_most",
 		"%v is negative", time.Duration(limits.MaxRetryAfter))
 	c.Positive("limits.dial_timeout", limits.DialTimeout)
--- a/internal/config/section_membership.go
+++ b/internal/config/section_membership.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// minSessionTimeout is the shortest ZooKeeper session: under it a pause of the garbage collector or of the
-	// machine would end the session.
+	// minSessionTimeout is the shortest ZooKeeper session: a pause of the garbage collector or of the machine would
+	// end a shorter one.
 	minSessionTimeout = time.Second
 	maxSessionTimeout = 10 * time.Minute
 )
@@ -19,7 +19,7 @@
 // Discovery is the section of the discovery service.
 type Discovery struct {
 	Address      string   `toml:"address"`    // host:port, "" for none
-	PollInterval Duration `toml:"ask_within"` // within which a lost watch must begin again
+	PollInterval Duration `toml:"ask_within"` // max time until a lost watch is renewed
 }
 
 // Ephemeral is the section of ephemeral nodes, by which servers register in ZooKeeper.
@@ -32,7 +32,7 @@
 
 // Membership is the section on how several sources of membership are combined.
 type Membership struct {
-	MaxShrinkRatio  float64  `toml:"shrink_most"` // servers that may be missing when a source has reconnected
+	MaxShrinkRatio  float64  `toml:"shrink_most"` // of servers that may be missing after a source reconnects
 	HoldTime        Duration `toml:"hold"`
 	MaxDiscoveryLag Duration `toml:"lag"`
 }
@@ -56,12 +56,13 @@
 	listed := len(file.Servers) > 0
 	discovered := file.Discovery.Address != ""
 	c.Require(ephemeral || !listed || !discovered, "discovery.address",
-		"servers are named in the file, too: one of the two decides, unless ephemeral.servers is set")
+		"the file lists servers as well: only one of the two may be used unless ephemeral.servers is set")
 	c.Require(ephemeral || listed || discovered, "server",
-		"no server is named, and neither discovery.address nor ephemeral.servers")
+		"no source of servers: set [[server]] entries, discovery.address or ephemeral.servers")
 	c.checkEphemeral()
 	c.checkReconciliation()
-	c.Require(len(file.Servers) <= maxServers, "server", "%d servers, at most %d", len(file.Servers), maxServers)
+	c.Require(len(file.Servers) <= maxServers, "server",
+		"%d servers, but at most %d are allowed", len(file.Servers), maxServers)
 	if discovered {
 		c.requireAddress("discovery.address", file.Discovery.Address)
 		c.Positive("discovery.ask_within", file.Discovery.PollInterval)
@@ -78,10 +79,10 @@
 	if len(ephemeral.Servers) > 0 {
 		parent := ephemeral.Path
 		c.Require(strings.HasPrefix(parent, "/") && parent != "/" && path.Clean(parent) == parent, "ephemeral.path",
-			"%q is not the path of a directory, such as /soko", parent)
+			"%q is not the absolute path of a node, such as /soko", parent)
 		timeout := time.Duration(ephemeral.SessionTimeout)
 		c.Require(timeout >= minSessionTimeout && timeout <= maxSessionTimeout, "ephemeral.session",
-			"%v is not in 1s to 10m", timeout)
+			"%v is not in the range 1s to 10m", timeout)
 	}
 	if ephemeral.DigestFile == "" {
 		return
@@ -90,7 +91,7 @@
 	c.file.digest = strings.TrimSpace(string(text))
 	c.Require(err == nil, "ephemeral.digest_file", "%v", err)
 	c.Require(err != nil || strings.Contains(c.file.digest, ":"), "ephemeral.digest_file",
-		"the file does not hold user:password")
+		"the file does not contain user:password")
 }
 
 // checkReconciliation checks the [membership] section.
--- a/internal/config/section_peers.go
+++ b/internal/config/section_peers.go
@@ -14,7 +14,7 @@
 	"pinedale/internal/cluster"
 )
 
-// minVoters is the smallest voter set whose majority outlasts the loss of one voter.
+// minVoters is the smallest number of voters that keep a majority when one of them is lost.
 const minVoters = 3
 
 // agreements are the values of class.agree.
@@ -49,14 +49,14 @@
 	c.checkPeerAddresses()
 	seen := map[string]bool{}
 	for _, name := range peers.Voters {
-		c.Require(name != "" && !seen[name], "peers.witnesses", "%q is empty, or there twice", name)
+		c.Require(name != "" && !seen[name], "peers.witnesses", "%q is empty or listed twice", name)
 		seen[name] = true
 	}
 	c.Require(!needVoters || len(peers.Voters) >= minVoters, "peers.witnesses",
-		"%d names: a majority that outlasts the loss of one needs %d", len(peers.Voters), minVoters)
+		"%d names, but at least %d are needed so that a majority outlasts the loss of one", len(peers.Voters), minVoters)
 	c.Positive("peers.wait", peers.LeaseTimeout)
 	if peers.KeysFile == "" {
-		c.Warn("peers.keys_file", "is missing: whoever reaches the port may speak for any instance")
+		c.Warn("peers.keys_file", "is missing: anyone who can reach the port may impersonate any instance")
 		return
 	}
 	keys, err := readPeerKeys(peers.KeysFile)
@@ -64,7 +64,7 @@
 	c.file.peerKeys = keys
 }
 
-// checkAgreements checks class.agree and reports whether a class needs an agreement.
+// checkAgreements checks class.agree and reports whether a class requires instances to agree.
 func (c *checker) checkAgreements() (needed bool) {
 	for i := range c.file.Classes {
 		class := &c.file.Classes[i]
@@ -75,8 +75,9 @@
 			continue
 		}
 		needed = true
-		c.Require(class.Idempotency == "keyed", key, "%q: only a keyed class has keys to agree on", class.Agreement)
-		c.Require(c.file.Peers.Listen != "", key, "%q: there is nobody to agree with without peers.listen",
+		c.Require(class.Idempotency == "keyed", key, "%q is set, but only a keyed class has keys to agree on",
+			class.Agreement)
+		c.Require(c.file.Peers.Listen != "", key, "%q needs peers.listen: without it there is nobody to agree with",
 			class.Agreement)
 	}
 	return needed
@@ -92,7 +93,7 @@
 	if peers.Status != "" {
 		c.requireAddress("peers.status", peers.Status)
 	}
-	c.Require(c.file.Name != "", "name", "is missing: by it others know this instance")
+	c.Require(c.file.Name != "", "name", "is missing: others know this instance by its name")
 	for _, peer := range peers.Join {
 		name, address, ok := strings.Cut(peer, "/")
 		c.Require(ok && name != "", "peers.join", "%q is not name/host:port", peer)
@@ -101,7 +102,7 @@
 		}
 	}
 	for name, address := range peers.Via {
-		c.Require(name != "", "peers.via", "a name is empty")
+		c.Require(name != "", "peers.via", "the name of an instance is empty")
 		c.requireAddress("peers.via", address)
 	}
 }
@@ -110,7 +111,7 @@
 var peerKeySizes = []int{16, 24, 32}
 
 // errNoPeerKeys is the error of a keys file without a key.
-var errNoPeerKeys = errors.New("no key is in it")
+var errNoPeerKeys = errors.New("the file contains no key")
 
 // readPeerKeys reads a keys file: one key a line in base64, empty lines and comments with #. The first key encrypts;
 // each decrypts.
--- a/internal/config/section_route.go
+++ b/internal/config/section_route.go
@@ -16,9 +16,9 @@
 	Timing
 	Name    string            `toml:"name" json:"Name"`
 	Host    string            `toml:"host" json:"Host"`     // "" for any
-	Path    string            `toml:"path" json:"Path"`     // the complete path
-	Prefix  string            `toml:"prefix" json:"Prefix"` // or its beginning
-	Method  string            `toml:"method" json:"Method"` // "" for those of the class
+	Path    string            `toml:"path" json:"Path"`     // the complete path, "" if Prefix is set
+	Prefix  string            `toml:"prefix" json:"Prefix"` // a prefix of the path, "" if Path is set
+	Method  string            `toml:"method" json:"Method"` // "" for the methods of the class
 	Headers map[string]string `toml:"headers" json:"Headers"`
 	Class   string            `toml:"class" json:"Class"`
 	Pool    string            `toml:"pool" json:"Pool"` // "" for the whole fleet
@@ -35,16 +35,16 @@
 // versionText before any change.
 type Tenant struct {
 	Name   string  `toml:"name" json:"Name"`
-	Weight float64 `toml:"weight" json:"Weight"` // of its quota
+	Weight float64 `toml:"weight" json:"Weight"` // of its quota, relative to those of other tenants
 	Open   int     `toml:"open" json:"Open"`     // max requests in flight, 0 for no limit
 }
 
-// checkPolicy checks pools and compiles classes, routes, pools and tenants into the table, which reports their
+// checkPolicy checks pools and compiles classes, routes, pools and tenants into the table. The compiler reports their
 // errors.
 func (c *checker) checkPolicy() {
 	file := c.file
 	c.Require(file.Limits.AdmitRate >= 0 && file.Limits.AdmitRate <= maxAdmitRate, "limits.admit_rate",
-		"%v is not in 0 to 1e7", file.Limits.AdmitRate)
+		"%v is not in the range 0 to 1e7", file.Limits.AdmitRate)
 	for i, pool := range file.Pools {
 		c.checkPoolNames(i, "sites", pool.Sites, file.Fleet.Sites)
 		c.checkPoolNames(i, "kinds", pool.Kinds, file.Fleet.Kinds)
@@ -60,7 +60,7 @@
 	file.table = table
 }
 
-// checkPoolNames checks that the fleet has all names of a key of a pool.
+// checkPoolNames checks that a pool lists only names of the fleet under a key, which is sites or kinds.
 func (c *checker) checkPoolNames(pool int, key string, names, fleet []string) {
 	for _, name := range names {
 		c.Require(slices.Contains(fleet, name), fmt.Sprintf("pool[%d].%s", pool, key),
--- a/internal/config/section_upstream.go
+++ b/internal/config/section_upstream.go
@@ -22,8 +22,8 @@
 	HTTP3               bool     `toml:"http3"`           // use HTTP/3 with servers that support it
 	Keys                string   `toml:"keys"`            // name of the [[keys]] for TLS, "" for plain text
 	VerifyPattern       string   `toml:"verify"`          // name of a server's certificate, with {name}
-	HandshakesPerServer float64  `toml:"handshakes"`      // a second, by all instances
-	HandshakesTotal     float64  `toml:"handshakes_all"`  // a second, by this instance
+	HandshakesPerServer float64  `toml:"handshakes"`      // per second with one server, by all instances
+	HandshakesTotal     float64  `toml:"handshakes_all"`  // per second, by this instance
 	HandshakeBurst      float64  `toml:"handshake_burst"` // with one server, by all instances
 	HandshakeTimeout    Duration `toml:"handshake_timeout"`
 	MaxSessions         int      `toml:"sessions"` // that may be resumed
@@ -48,37 +48,37 @@
 	}
 	c.checkVerifyNames()
 	c.Require(upstream.MaxSessions >= 1 && upstream.MaxSessions <= maxSessions, "upstream.sessions",
-		"%d is not in 1 to %d", upstream.MaxSessions, maxSessions)
+		"%d is not in the range 1 to %d", upstream.MaxSessions, maxSessions)
 	c.requireHandshakeRate("upstream.handshakes", upstream.HandshakesPerServer)
 	c.requireHandshakeRate("upstream.handshakes_all", upstream.HandshakesTotal)
 	c.requireHandshakeRate("upstream.handshake_burst", upstream.HandshakeBurst)
 	c.Positive("upstream.handshake_timeout", upstream.HandshakeTimeout)
 }
 
-// checkPlainUpstream checks that nothing depends on TLS, which is not configured.
+// checkPlainUpstream checks that no setting depends on TLS while it is not configured.
 func (c *checker) checkPlainUpstream() {
-	const reason = "is of no use without upstream.keys: servers are spoken to in plain text"
+	const reason = "has no effect without upstream.keys: connections to servers are plain text"
 	upstream := &c.file.Upstream
-	c.Require(!upstream.HTTP3, "upstream.http3", "is encrypted: upstream.keys must say whom to trust")
+	c.Require(!upstream.HTTP3, "upstream.http3", "HTTP/3 is always encrypted: set upstream.keys")
 	c.Require(upstream.VerifyPattern == "", "upstream.verify", reason)
 	for i, server := range c.file.Servers {
 		c.Require(server.VerifyName == "", fmt.Sprintf("server[%d].verify", i), reason)
 	}
 }
 
-// checkVerifyNames checks that each server has a name by which it can be verified.
+// checkVerifyNames checks that a name for verification is known for each server.
 func (c *checker) checkVerifyNames() {
 	file, pattern := c.file, c.file.Upstream.VerifyPattern
 	if pattern != "" {
 		err := secure.CheckName(pattern)
 		c.Require(err == nil, "upstream.verify", "%v", err)
 		if err == nil && !strings.Contains(pattern, namePlaceholder) {
-			c.Warn("upstream.verify", "has no {name}: any server's certificate will do for every other")
+			c.Warn("upstream.verify", "has no {name}: the certificate of one server is accepted for every other")
 		}
 	}
 	onlyListed := file.Discovery.Address == "" && len(file.Ephemeral.Servers) == 0
 	c.Require(pattern != "" || onlyListed, "upstream.verify",
-		"is missing: the names of servers that membership tells must come from a pattern, such as {name}.example.org")
+		"is missing: servers from discovery or ephemeral nodes need a name pattern, such as {name}.example.org")
 	names := file.VerifyNames()
 	for i, server := range file.Servers {
 		key := fmt.Sprintf("server[%d].verify", i)
@@ -96,5 +96,5 @@
 
 // requireHandshakeRate records an error unless a rate is in bounds.
 func (c *checker) requireHandshakeRate(key string, rate float64) {
-	c.Require(rate >= 1 && rate <= maxHandshakeRate, key, "%v is not in 1 to 1e6", rate)
+	c.Require(rate >= 1 && rate <= maxHandshakeRate, key, "%v is not in the range 1 to 1e6", rate)
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -34,7 +34,7 @@
 	return settings
 }
 
-// balancerLimits returns what the balancer may do.
+// balancerLimits returns the limits of the balancer.
 func (f *File) balancerLimits() balancer.Limits {
 	limits := &f.Limits
 	return balancer.Limits{
@@ -49,7 +49,7 @@
 	}
 }
 
-// balancerContract returns how servers and clients behave.
+// balancerContract returns the behaviour of servers and clients that the balancer relies on.
 func (f *File) balancerContract() balancer.Contract {
 	return balancer.Contract{
 		DrainGrace:       f.Fleet.DrainGrace.Microseconds(),
@@ -157,7 +157,7 @@
 	return hosts
 }
 
-// SubsetConfig returns how this instance chooses its part of the fleet; ok is false if it uses all of it.
+// SubsetConfig returns how this instance chooses its subset of the fleet; ok is false if it uses all of it.
 func (f *File) SubsetConfig() (config subset.Config, ok bool) {
 	if f.Fleet.MinSubset == 0 {
 		return config, false
@@ -174,7 +174,7 @@
 	return config, true
 }
 
-// valueOr returns the value of a key that the file need not set.
+// valueOr returns the value of an optional key, or fallback if the file does not set it.
 func valueOr(value *float64, fallback float64) float64 {
 	if value == nil {
 		return fallback
--- a/internal/config/summary.go
+++ b/internal/config/summary.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Summary describes in one line what a file asks for.
+// Summary describes in one line what a file configures.
 func (f *File) Summary() string {
 	var parts []string
 	if f.HTTP.Listen != "" {
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -6,11 +6,11 @@
 	"encoding/json"
 )
 
-// versionBytes is how many bytes of the hash a version has.
+// versionBytes is the number of bytes of the hash that a version consists of.
 const versionBytes = 4
 
-// version identifies what a file says of classes, routes, pools, tenants and limits: files that agree in these
-// have the same version, over restarts, instances and releases. It is a hash of versionText.
+// version identifies the classes, routes, pools, tenants and limits of a file: files that agree in these have the same
+// version, across restarts, instances and releases. It is a hash of versionText.
 func (f *File) version() string {
 	text, err := f.versionText()
 	if err != nil { // a number that JSON cannot represent; the checks reject it
--- a/internal/config/version_test.go
+++ b/internal/config/version_test.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The versions of two files are those that earlier releases have printed, and so is the JSON behind them.
+// The versions of two files, and the JSON that is hashed for them, are the same as in earlier releases.
 func TestVersionsAreThoseOfEarlierReleases(t *testing.T) {
 	for name, want := range map[string]string{"all-keys": "7b5d67d1", "defaults": "69f66468"} {
 		t.Run(name, func(t *testing.T) {
