--- a/cmd/pinedale-proxy/commands.go
+++ b/cmd/pinedale-proxy/commands.go
@@ -20,7 +20,7 @@
 // signalBacklog is how many signals may wait while a file is read.
 const signalBacklog = 4
 
-// commandLine builds the commands. All of them write to out and take the operator's file.
+// commandLine builds the commands. All of them write to out, and most read the operator's file.
 type commandLine struct {
 	out        io.Writer
 	configPath string // flag --config
@@ -29,17 +29,17 @@
 // rootCommand returns the command line of the program.
 func rootCommand(out io.Writer) *cobra.Command {
 	c := &commandLine{out: out}
-	root := cli.NewRoot("pinedale-proxy", "pinedale for installations of the operator's own", out)
-	root.PersistentFlags().StringVar(&c.configPath, "config", "", "the operator's file (TOML)")
+	root := cli.NewRoot("pinedale-proxy", "pinedale load balancer for self-managed installations", out)
+	root.PersistentFlags().StringVar(&c.configPath, "config", "", "path of the operator's file (TOML)")
 	root.AddCommand(c.serveCommand(), c.checkCommand(), c.explainCommand(), c.keysCommand(), c.peersCommand())
 	return root
 }
 
-// withFile returns a function for a command that loads the operator's file first.
+// withFile returns the function of a command that needs the operator's file: it loads the file before it calls run.
 func (c *commandLine) withFile(run func(file *config.File, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		if c.configPath == "" {
-			return errors.New("--config FILE is what a command takes\n" + cmd.UsageString())
+			return errors.New("the --config flag is required\n" + cmd.UsageString())
 		}
 		file, err := load(c.configPath)
 		if err != nil {
@@ -53,10 +53,10 @@
 func (c *commandLine) serveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "serve",
-		Short: "serve as the file says",
+		Short: "run an instance as the file configures it",
 		Args:  cobra.NoArgs,
-		Long: `Serve as the operator's file says. SIGTERM ends the service in order. SIGHUP has the file and all keys read
-again: classes, routes, limits and servers change, or nothing does.`,
+		Long: `Run an instance as the operator's file configures it. SIGTERM begins a graceful shutdown. SIGHUP reads the file
+and all keys again: classes, routes, limits and servers are replaced, or, after an error, nothing changes.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			// Without a handler, SIGHUP would end the process, even while it reads its file.
 			signals := make(chan os.Signal, signalBacklog)
@@ -73,7 +73,7 @@
 	var asJSON bool
 	check := &cobra.Command{
 		Use:   "check",
-		Short: "say what is wrong with the file, and what its classes and routes come to",
+		Short: "check the file, and print its classes and routes",
 		Args:  cobra.NoArgs,
 		RunE: c.withFile(func(file *config.File, _ []string) error {
 			if asJSON {
@@ -86,11 +86,11 @@
 	return check
 }
 
-// explainCommand returns the command that explains which route a request gets.
+// explainCommand returns the command that prints which route a request gets, and why.
 func (c *commandLine) explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain METHOD PATH ['Header: value'...]",
-		Short: "say which route and class a request gets, and why",
+		Short: "print which route and class a request gets, and why",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: c.withFile(func(file *config.File, args []string) error {
 			return explain(c.out, file, args)
@@ -98,9 +98,9 @@
 	}
 }
 
-// keysCommand returns the commands on certificates, keys and trust.
+// keysCommand returns the commands on certificates and keys.
 func (c *commandLine) keysCommand() *cobra.Command {
-	keys := &cobra.Command{Use: "keys", Short: "certificates, keys and trust"}
+	keys := &cobra.Command{Use: "keys", Short: "inspect and verify certificates and keys"}
 	keys.AddCommand(c.keysShowCommand(), c.keysVerifyCommand())
 	return keys
 }
@@ -109,7 +109,7 @@
 func (c *commandLine) keysShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show",
-		Short: "print what the file's keys hold, and how servers are verified",
+		Short: "print the contents of the file's keys, and how servers are verified",
 		Args:  cobra.NoArgs,
 		RunE: c.withFile(func(file *config.File, _ []string) error {
 			return file.ShowKeys(c.out, time.Now())
@@ -117,29 +117,29 @@
 	}
 }
 
-// keysVerifyCommand returns the command that checks files that are to replace those of the keys of a name.
+// keysVerifyCommand returns the command that checks whether files could replace those of a [[keys]] entry.
 func (c *commandLine) keysVerifyCommand() *cobra.Command {
 	var replacement certstore.Paths
 	verify := &cobra.Command{
 		Use:   "verify NAME",
-		Short: "say whether new files would be taken for the keys of this name",
+		Short: "check whether new files would be accepted for the [[keys]] entry NAME",
 		Args:  cobra.ExactArgs(1),
 		RunE: c.withFile(func(file *config.File, args []string) error {
 			if err := file.VerifyKeys(args[0], replacement); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.out, "good: these files would be taken")
+			fmt.Fprintln(c.out, "good: these files would be accepted")
 			return nil
 		}),
 	}
 	verify.Flags().StringVar(&replacement.Cert, "cert", "", "the certificate, in place of cert_file")
-	verify.Flags().StringVar(&replacement.Key, "key", "", "its key, in place of key_file")
-	verify.Flags().StringVar(&replacement.Roots, "roots", "", "in place of roots_file")
-	verify.Flags().StringVar(&replacement.Revoked, "revoked", "", "in place of revoked_file")
+	verify.Flags().StringVar(&replacement.Key, "key", "", "the private key, in place of key_file")
+	verify.Flags().StringVar(&replacement.Roots, "roots", "", "the roots, in place of roots_file")
+	verify.Flags().StringVar(&replacement.Revoked, "revoked", "", "the revocation list, in place of revoked_file")
 	return verify
 }
 
-// load loads the operator's file.
+// load loads the operator's file. Its error names the file.
 func load(path string) (*config.File, error) {
 	file, err := config.Load(path)
 	if err != nil {
@@ -148,8 +148,8 @@
 	return file, nil
 }
 
-// describeError adds the file's name to an error of loading it: in front of a single error, on a line of its own in
-// front of several.
+// describeError adds the file's name to an error of loading it: before a single error on the same line, before several
+// errors on a line of its own.
 func describeError(path string, err error) error {
 	lines := strings.Split(err.Error(), "\n")
 	if len(lines) == 1 {
--- a/cmd/pinedale-proxy/explain.go
+++ b/cmd/pinedale-proxy/explain.go
@@ -24,7 +24,7 @@
 		return explainUnrouted(out, table, query)
 	}
 	if policy.IsAmbiguousPath(query.Path) {
-		return fmt.Errorf("the path %q has //, /. or /.., and gets no route", query.Path)
+		return fmt.Errorf("the path %q contains //, /. or /.., and gets no route", query.Path)
 	}
 	if bounds, ok := table.Lookup(query); ok {
 		fmt.Fprintf(out, "class %s\n", bounds.ClassName)
@@ -77,9 +77,9 @@
 func explainUnrouted(out io.Writer, table *policy.Table, query *policy.Query) error {
 	name := http.Header(query.Header).Get(requestmeta.HeaderClass)
 	if _, ok := table.ClassBounds(name); !ok {
-		return fmt.Errorf("the file has no routes: a request names its class in %s, and %q is none",
+		return fmt.Errorf("the file has no routes, so a request names its class in the %s header: no class is named %q",
 			requestmeta.HeaderClass, name)
 	}
-	fmt.Fprintf(out, "class %s, as the request says: the file has no routes\n", name)
+	fmt.Fprintf(out, "class %s, from the request: the file has no routes\n", name)
 	return nil
 }
--- a/cmd/pinedale-proxy/main.go
+++ b/cmd/pinedale-proxy/main.go
@@ -1,5 +1,5 @@
-// Command pinedale-proxy is pinedale for installations of the operator's own: the fronts and the sources of
-// membership are those that the operator's TOML file configures.
+// Command pinedale-proxy runs pinedale in installations that an operator manages. The operator's TOML file configures
+// its fronts and its sources of membership.
 package main
 
 import (
--- a/cmd/pinedale-proxy/main_test.go
+++ b/cmd/pinedale-proxy/main_test.go
@@ -17,7 +17,7 @@
 	"pinedale/internal/standin/wait"
 )
 
-// programName is that of the tested program for testfleet.
+// programName is the name under which testfleet runs the tested program.
 const programName = "pinedale-proxy"
 
 func TestMain(m *testing.M) {
@@ -58,7 +58,7 @@
 `, address)
 }
 
-// Wrong arguments and invalid files are reported with exit code 1.
+// Invalid arguments and invalid files are reported with exit code 1.
 func TestUsageErrorsAndInvalidFilesExitWithOne(t *testing.T) {
 	path := writeConfig(t, strings.Replace(fileWithServer("here"), "safe", "never", 1))
 	for _, test := range []struct {
@@ -93,7 +93,7 @@
 	}
 }
 
-// check prints the table of classes and routes, explain why a request gets its route.
+// The command check prints the table of classes and routes, and explain prints why a request gets its route.
 func TestCheckPrintsTableAndExplainPrintsReasons(t *testing.T) {
 	path := writeConfig(t, fileWithServer("127.0.0.1:1")+`[[route]]
 name = "prices"
@@ -160,8 +160,8 @@
 // exitTimeout is how long the program may take to end.
 const exitTimeout = time.Minute
 
-// The program serves a request, uses the servers of a new file after SIGHUP, keeps the old ones if that file is
-// invalid, and ends gracefully after SIGTERM.
+// The program serves a request, uses the servers of a new file after SIGHUP, keeps using the old ones if the new file
+// is invalid, and shuts down gracefully after SIGTERM.
 func TestServeReloadsOnHangupAndEndsOnTerm(t *testing.T) {
 	fleet := &fakebackend.Fleet{}
 	first, second := fleet.MustStart(t, "s-1", 0), fleet.MustStart(t, "s-2", 0)
--- a/cmd/pinedale-proxy/peers.go
+++ b/cmd/pinedale-proxy/peers.go
@@ -16,12 +16,12 @@
 // statusTimeout bounds the request for a status page.
 const statusTimeout = 5 * time.Second
 
-// peersCommand returns the commands on other instances. Their addresses are those of peers.status.
+// peersCommand returns the commands on other instances. The addresses of its arguments are those of peers.status.
 func (c *commandLine) peersCommand() *cobra.Command {
-	peers := &cobra.Command{Use: "peers", Short: "other instances, and what they tell"}
+	peers := &cobra.Command{Use: "peers", Short: "print and compare the status of instances"}
 	peers.AddCommand(&cobra.Command{
 		Use:   "show [HOST:PORT]",
-		Short: "print what an instance holds: the file's, or that whose status is served there",
+		Short: "print the status of the file's instance, or of the instance whose peers.status is HOST:PORT",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 1 {
@@ -36,7 +36,7 @@
 		},
 	}, &cobra.Command{
 		Use:   "diff HOST:PORT HOST:PORT",
-		Short: "name what two instances hold otherwise",
+		Short: "print the differences between the status of two instances",
 		Args:  cobra.ExactArgs(2),
 		RunE:  func(_ *cobra.Command, args []string) error { return diffStatus(c.out, args[0], args[1]) },
 	})
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	if status, err = cluster.Fetch(ctx, address); err != nil {
-		return status, fmt.Errorf("peers: %w", err)
+		return status, fmt.Errorf("cannot fetch the status of %s: %w", address, err)
 	}
 	return status, nil
 }
@@ -77,8 +77,8 @@
 		fmt.Fprintln(out, line)
 	}
 	if len(differences) > 0 {
-		return fmt.Errorf("%d differences", len(differences))
+		return fmt.Errorf("%d differences between %s and %s", len(differences), first, second)
 	}
-	fmt.Fprintln(out, "both hold the same")
+	fmt.Fprintln(out, "no differences")
 	return nil
 }
--- a/cmd/pinedale-proxy/serve.go
+++ b/cmd/pinedale-proxy/serve.go
@@ -11,7 +11,7 @@
 	"pinedale/internal/config"
 )
 
-// serve runs an instance until it has ended: SIGHUP reloads the file, any other signal begins the graceful shutdown.
+// serve runs an instance until it has ended. SIGHUP reloads the file; any other signal begins the graceful shutdown.
 func serve(path string, file *config.File, signals <-chan os.Signal) error {
 	app.UseMemory(file)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("instance", file.Name)
--- a/internal/app/agreement_test.go
+++ b/internal/app/agreement_test.go
@@ -14,7 +14,7 @@
 const (
 	// keyCount is how many idempotency keys are sent.
 	keyCount = 30
-	// serversPerCell is how many servers remember the same keys.
+	// serversPerCell is how many servers share their idempotency keys.
 	serversPerCell = 2
 )
 
@@ -44,8 +44,8 @@
 	return proxies
 }
 
-// A client whose request has failed retries at another instance, over the other front: the retry is sent to the cell
-// that remembers its key.
+// A client retries a failed request at another instance, over the other front. The retry must be sent to the cell whose
+// servers have the request's key, or the request would be executed twice.
 func TestRetriesAtOtherInstancesAreDeduplicated(t *testing.T) {
 	fleet, instances := startUnknownOutcomeCluster(t, "always")
 	proxies := dialExtProc(t, instances)
@@ -55,7 +55,7 @@
 		key := fmt.Sprint("key-", n)
 		statusCode := sendDayClose(ctx, t, instances[n%clusterSize], key+"-0", key)
 		if statusCode != http.StatusBadGateway {
-			t.Fatalf("%s: status %d, and every server fails", key, statusCode)
+			t.Fatalf("%s: status %d, want %d, since every server fails", key, statusCode, http.StatusBadGateway)
 		}
 		for retry := 1; retry <= 2; retry++ {
 			request := proxy.Request{
@@ -74,12 +74,13 @@
 		t.Errorf("executed twice: %v", duplicates)
 	}
 	if counts := fleet.Counts(); counts.Executed != keyCount || counts.Deduplicated < keyCount {
-		t.Errorf("%+v: each key is to be executed once, and its retries to be dropped", counts)
+		t.Errorf("%+v: want each key executed once and its retries dropped", counts)
 	}
 }
 
-// The same without agreement executes requests twice: this shows that the test above can fail. Three of four cells are
-// wrong for a retry, so the probability that all retries of 30 requests hit the right one is 4 to the power of -60.
+// Without agreement, requests are executed twice, which shows that the test above can fail. Three of four cells do not
+// have the key of a retry, so the probability that the retries of 30 requests all reach the right one is 4 to the power
+// of -60.
 func TestRetriesRunTwiceWithoutAgreement(t *testing.T) {
 	fleet, instances := startUnknownOutcomeCluster(t, "never")
 	for n := range keyCount {
--- a/internal/app/cluster.go
+++ b/internal/app/cluster.go
@@ -20,7 +20,7 @@
 	statusShutdownTimeout = time.Second
 )
 
-// Build names the build to other instances. The linker may set it.
+// Build is the name of this build, which other instances receive. The linker may set it.
 var Build = "unnamed"
 
 // clusterConfig returns the configuration of the connection to other instances.
@@ -51,13 +51,13 @@
 	return settings
 }
 
-// observedSource is a source of membership whose updates other instances receive as well.
+// observedSource is a source of membership whose updates are sent to other instances as well.
 type observedSource struct {
 	engine.Source
 	node *cluster.Node
 }
 
-// Watch reports each update to the cluster before it reports it to the engine.
+// Watch passes each update to the cluster node before it passes it to the engine.
 func (o observedSource) Watch(ctx context.Context, after *uint64, notify func(balancer.ListKind, engine.List)) (
 	*uint64, error,
 ) {
@@ -77,7 +77,7 @@
 	settings.OnDrainAdvisory = func(now balancer.Micros, draining map[string]int64) {
 		i.engine.SetAdvisedDraining(now, draining)
 	}
-	// The node posts nothing before the engine, which is created later, has notified it of endpoints or of a key.
+	// The node posts nothing until the engine, which is created later, notifies it of endpoints or of a key.
 	node, err := cluster.Start(settings, func(event func(now balancer.Micros)) { i.engine.Post(event) })
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 	return func() {
 		ctx, cancel := context.WithTimeout(context.Background(), statusShutdownTimeout)
 		defer cancel()
-		_ = server.Shutdown(ctx) // after the timeout the process ends all the same
+		_ = server.Shutdown(ctx) // connections still open after the timeout end with the process
 		<-served
 	}, nil
 }
--- a/internal/app/cluster_test.go
+++ b/internal/app/cluster_test.go
@@ -15,7 +15,7 @@
 	"pinedale/internal/standin/wait"
 )
 
-// clusterSize is how many instances a cluster of these tests has.
+// clusterSize is the number of instances of a test's cluster.
 const clusterSize = 3
 
 const (
@@ -29,7 +29,7 @@
 deadline = "1s"
 agree = %q
 `
-	// peersFormat connects instances. Its verbs are the own address, the file of keys and the address of i-0.
+	// peersFormat connects instances. Its verbs are the instance's own address, the keys file and the address of i-0.
 	peersFormat = `[limits]
 probes = false
 [peers]
@@ -40,7 +40,7 @@
 witnesses = ["i-0", "i-1", "i-2"]
 join = ["i-0/%s"]
 `
-	// peerKeys is the content of a file of keys.
+	// peerKeys is the content of a keys file.
 	peerKeys = `# the only one
 MDEyMzQ1Njc4OWFiY2RlZg==
 `
@@ -83,7 +83,7 @@
 	return instances
 }
 
-// sendDayClose sends a request with an idempotency key to the HTTP/1.1 front of an instance and returns the status code.
+// sendDayClose sends a request with an idempotency key to the HTTP/1.1 front of an instance and returns its status.
 func sendDayClose(ctx context.Context, t *testing.T, instance *Instance, id, key string) int {
 	t.Helper()
 	url := "http://" + instance.HTTP.String() + "/day-close/x"
--- a/internal/app/counters.go
+++ b/internal/app/counters.go
@@ -53,8 +53,8 @@
 	return count
 }
 
-// InFlight returns what the external processor holds: requests that wait for a decision, rounds of attempts and
-// entries. It must not be called from the engine's goroutine.
+// InFlight returns the state of the external processor: the numbers of requests that wait for a decision, of rounds of
+// attempts and of entries. It must not be called from the engine's goroutine.
 func (i *Instance) InFlight() (waiting, rounds, entries int) {
 	if i.extProc == nil {
 		return 0, 0, 0
--- a/internal/app/drains_test.go
+++ b/internal/app/drains_test.go
@@ -16,7 +16,7 @@
 	t         *testing.T
 	fleet     *fakebackend.Fleet
 	servers   []*fakebackend.Server
-	hosts     []fakediscovery.Host // of the servers, as all lists have them at first
+	hosts     []fakediscovery.Host // of the servers, as all lists state them at first
 	lists     []*fakediscovery.Directory
 	instances []*Instance
 	requests  int // sent so far
@@ -63,7 +63,7 @@
 	})
 }
 
-// advisedDraining returns the servers that an instance holds back on the advisory of others.
+// advisedDraining returns the servers to which an instance sends no requests on the advisory of others.
 func (c *listedCluster) advisedDraining(instance int) []string {
 	c.t.Helper()
 	status, err := c.instances[instance].Peers.Status(c.t.Context())
@@ -81,8 +81,8 @@
 	sendDayClose(c.t.Context(), c.t, c.instances[instance], fmt.Sprint("r-", id), fmt.Sprint("key-", id))
 }
 
-// The endpoint list of one instance stalls, and the two others learn that a server is draining: on their advisory,
-// the first sends it no more requests, and follows its own list once that is updated.
+// The endpoint list of one instance stalls while the two others learn that a server is draining. On their advisory,
+// the first sends the server no more requests. It follows its own list again once that is updated.
 func TestServerKnownToDrainByPeersGetsNoRequests(t *testing.T) {
 	const (
 		stalled     = 2 // the instance whose list stalls
@@ -102,16 +102,16 @@
 		c.sendRequest(stalled)
 	}
 	if c.servers[0].LastRequest().After(start) {
-		t.Error("a request went to a server that two others know to be draining")
+		t.Error("a request was sent to a server that two other instances report as draining")
 	}
 	if executed := c.fleet.Counts().Executed; executed < minExecuted {
-		t.Errorf("%d of %d requests were executed", executed, requests)
+		t.Errorf("%d of %d requests were executed, want at least %d", executed, requests, minExecuted)
 	}
-	// It was restarted, as all lists say: the advisory on its previous incarnation no longer counts.
+	// All lists say that the server was restarted: the advisory on its previous incarnation no longer applies.
 	for instance := range c.instances {
 		c.changeFirstHost(instance, func(host *fakediscovery.Host) { host.StartedMS = 1 })
 	}
-	wait.Until(t, "the own list to be followed", func() bool { return len(c.advisedDraining(stalled)) == 0 })
+	wait.Until(t, "the instance to follow its own list", func() bool { return len(c.advisedDraining(stalled)) == 0 })
 	wait.Until(t, "the server to get requests again", func() bool {
 		c.sendRequest(stalled)
 		return c.servers[0].LastRequest().After(start)
--- a/internal/app/front_tls_test.go
+++ b/internal/app/front_tls_test.go
@@ -49,7 +49,7 @@
 	return &http.Client{Transport: transport}
 }
 
-// openStream opens a stream to the external processor and closes it. Its error is why the stream was not admitted.
+// openStream opens a stream to the external processor and closes it. It returns an error if the stream is not admitted.
 func openStream(t *testing.T, address string, config *tls.Config) error {
 	t.Helper()
 	conn, err := grpc.NewClient(address, grpc.WithTransportCredentials(credentials.NewTLS(config)))
--- a/internal/app/http3_test.go
+++ b/internal/app/http3_test.go
@@ -16,7 +16,7 @@
 	"pinedale/internal/standin/cert"
 )
 
-// rotations is how often the HTTP/3 front's certificate is replaced.
+// rotations is how many times the HTTP/3 front's certificate is replaced.
 const rotations = 20
 
 // startHTTP3 starts an instance with an HTTP/3 front, whose certificate is in a folder.
@@ -89,7 +89,7 @@
 	for rotation := range rotations {
 		next := root.IssueFor(time.Hour, "127.0.0.1")
 		files.WriteFile(files.Key, next.Key)
-		r.stores.reload() // one file of two has changed: nothing may change
+		r.stores.reload() // the certificate does not match the new key yet, so the old pair must stay in use
 		requireServedOnNewConnection(rotation, "one file replaced")
 		files.WriteFile(files.Cert, next.Cert)
 		r.stores.reload()
--- a/internal/app/instance.go
+++ b/internal/app/instance.go
@@ -46,11 +46,11 @@
 	Status net.Addr      // of the status page on other instances, nil without one
 	Peers  *cluster.Node // connection to other instances, nil without one
 
-	file   *config.File // that the instance was started with
+	file   *config.File // the file that the instance was started with
 	log    *slog.Logger
 	engine *engine.Engine
 	parser *requestmeta.Parser
-	table  atomic.Pointer[policy.Table] // in use
+	table  atomic.Pointer[policy.Table] // the table in use
 
 	admission   *admission.Admission // owned by the engine's goroutine
 	stores      stores
@@ -62,9 +62,9 @@
 	frontErrors chan error // one for each front; its capacity lets a front end before Wait is called
 
 	endFronts     context.CancelFunc // begins the graceful shutdown
-	stopEngine    context.CancelFunc // once the fronts have ended
-	closeUpstream func() error       // after the engine
-	closePeers    func()             // after the fronts: ends the status page and the connection to other instances
+	stopEngine    context.CancelFunc // called once the fronts have ended
+	closeUpstream func() error       // called after the engine has ended
+	closePeers    func()             // called after the fronts: ends the status page and the connection to other instances
 }
 
 // Start opens the file's sockets, starts the engine, the connection to other instances and the fronts, and returns
@@ -103,7 +103,7 @@
 	return i, nil
 }
 
-// createEngine creates the engine with its surroundings: the routing table, the parser, admission, the upstream and
+// createEngine creates the engine and what it depends on: the routing table, the parser, admission, the upstream and
 // the connection to other instances. After an error it has released them all.
 func (i *Instance) createEngine(ctx context.Context, subset engine.Subset) (engine.Upstream, error) {
 	file := i.file
@@ -126,7 +126,7 @@
 	if i.engine, err = engine.New(ctx, i.engineOptions(settings, upstream, subset)); err != nil {
 		i.cancel()
 		i.closePeers()
-		_ = closeUpstream() // likewise
+		_ = closeUpstream() // the first error is returned
 		return nil, err
 	}
 	return upstream, nil
@@ -171,8 +171,8 @@
 	return binary.LittleEndian.Uint64(seed[:])
 }
 
-// UseMemory lets the process use the memory that a file grants it: collections are rare until the heap comes near
-// the limit. A fifth is left for what the runtime does not count.
+// UseMemory sets the garbage collector to use the memory that a file grants: collections are rare until the heap comes
+// near the limit. A fifth is left for memory that the runtime does not count.
 func UseMemory(file *config.File) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(file.Limits.MemoryBytes() / 10 * 8)
@@ -185,7 +185,7 @@
 func (i *Instance) WaitReady() error {
 	for deadline := time.Now().Add(readyTimeout); !i.Ready(); time.Sleep(readyInterval) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("no server is known after %v", readyTimeout)
+			return fmt.Errorf("instance is not ready: no server is known after %v", readyTimeout)
 		}
 	}
 	return nil
@@ -194,9 +194,9 @@
 // Shutdown begins the graceful shutdown: no new requests are admitted, and those in flight are completed.
 func (i *Instance) Shutdown() { i.endFronts() }
 
-// Wait returns once all fronts have ended, after Shutdown or because one has failed, and everything is closed.
-// It waits for the goroutines of the fronts, the engine, the stores, the status page and the cluster's node. It is
-// called once.
+// Wait returns once all fronts have ended, after Shutdown or because one has failed, and everything is closed. It
+// waits for the goroutines of the fronts, the engine, the stores, the status page and the cluster node. It must be
+// called once only.
 func (i *Instance) Wait() error {
 	var errs []error
 	for range i.fronts {
@@ -207,7 +207,7 @@
 		errs = append(errs, err)
 	}
 	i.logCounters()
-	i.closePeers() // the leases of the last requests in flight were decided by now
+	i.closePeers() // the fronts have ended, so the leases of all requests have been decided
 	i.stopEngine()
 	i.background.Wait()
 	return errors.Join(append(errs, i.closeUpstream())...)
--- a/internal/app/instance_test.go
+++ b/internal/app/instance_test.go
@@ -64,7 +64,7 @@
 }
 
 // startInstance starts an instance from the text of a file. When the test ends the instance is shut down, and must
-// end without an error.
+// stop without an error.
 func startInstance(t *testing.T, text string, log *slog.Logger) *Instance {
 	t.Helper()
 	file, err := config.Parse([]byte(text))
@@ -91,7 +91,7 @@
 func newRequest(method, url string, headers ...string) *http.Request {
 	request, err := http.NewRequest(method, url, nil)
 	if err != nil {
-		panic(err) // the test is wrong; it may be on any goroutine
+		panic(err) // the test is wrong; t.Fatal is not permitted on other goroutines
 	}
 	request.Header.Set("X-Correlation-Id", testfleet.NewRequestID())
 	for _, header := range headers {
--- a/internal/app/lifecycle_test.go
+++ b/internal/app/lifecycle_test.go
@@ -131,7 +131,7 @@
 	return strings.Join(found, "\n\n")
 }
 
-// waitForGoroutines waits until no goroutine of an instance is left.
+// waitForGoroutines waits until no goroutine of an instance is running.
 func waitForGoroutines(t *testing.T) {
 	t.Helper()
 	wait.Until(t, "all goroutines to end", func() bool { return instanceGoroutines() == "" }, instanceGoroutines)
@@ -153,7 +153,7 @@
 		t.Errorf("status %d, %v", statusCode, err)
 	}
 	if instanceGoroutines() == "" {
-		t.Error("no goroutine of a running instance is found")
+		t.Error("instanceGoroutines finds no goroutine of a running instance")
 	}
 	instance.Shutdown()
 	if err := instance.Wait(); err != nil {
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -10,10 +10,10 @@
 )
 
 // errEnded is the error of a reload after the engine has stopped.
-var errEnded = errors.New("the instance has ended")
+var errEnded = errors.New("the instance has stopped")
 
-// LoadNext loads a file for Reload. Classes, routes and budgets that requests in flight may refer to keep
-// their numbers.
+// LoadNext loads a file for Reload. Classes, routes and budgets keep their numbers, to which requests in flight may
+// refer.
 func (i *Instance) LoadNext(path string) (*config.File, error) {
 	return config.LoadNext(path, i.Table())
 }
--- a/internal/app/reload_test.go
+++ b/internal/app/reload_test.go
@@ -53,15 +53,16 @@
 			t.Errorf("%s is accepted", path)
 		}
 	}
-	wait.Until(t, "some load", func() bool { return served.Load() > minRequestsUnderLoad || t.Failed() })
+	wait.Until(t, "requests under load", func() bool { return served.Load() > minRequestsUnderLoad || t.Failed() })
 	endLoad()
 	if r.Table() != before {
 		t.Error("the table has changed")
 	}
 }
 
-// A reload removes the class of a request in flight: the request is completed by the rules that it began with, and
-// the next one is rejected. The class gets its number back when it returns, and another one when it is changed.
+// A reload removes the class of a request in flight. The request is completed by the rules that it began with, and
+// the next one of that class is rejected. The class gets the same number when it returns unchanged, and another one
+// when it is changed.
 func TestRequestInFlightKeepsRemovedClass(t *testing.T) {
 	r := startTestInstance(t, 300*time.Millisecond, priceClass, payClass)
 	inFlight := r.startRequest(r.newPayment())
@@ -82,11 +83,11 @@
 	}
 	r.reload(priceClass, payClass)
 	if statusCode, _ := r.do(r.newPayment()); statusCode != http.StatusOK || classNumber() != initialNumber {
-		t.Errorf("the class is back: status %d, as number %d, was %d", statusCode, classNumber(), initialNumber)
+		t.Errorf("the class is back: status %d, number %d, was %d", statusCode, classNumber(), initialNumber)
 	}
 	r.reload(priceClass, strings.Replace(payClass, "1.5s", "1.6s", 1))
 	if statusCode, _ := r.do(r.newPayment()); statusCode != http.StatusOK || classNumber() == initialNumber {
-		t.Errorf("the class has changed: status %d, as number %d", statusCode, classNumber())
+		t.Errorf("the class has changed: status %d, number %d, was %d", statusCode, classNumber(), initialNumber)
 	}
 }
 
--- a/internal/app/router.go
+++ b/internal/app/router.go
@@ -32,7 +32,7 @@
 	return r
 }
 
-// Routed reports whether the table has routes. Without, a request names its class.
+// HasRoutes reports whether the table has routes. Without routes, a request names its class.
 func (r *router) HasRoutes() bool { return r.table.HasRoutes() }
 
 // Route returns the bounds of a request's route. It rejects paths that a server could interpret differently from the
--- a/internal/app/routes_test.go
+++ b/internal/app/routes_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// requestsToPool is how many requests show that a pool is used: without it half of them would go elsewhere.
+// requestsToPool is how many requests show that a pool is used: without it, half of them would go to another server.
 const requestsToPool = 20
 
 // pricesSection returns a pool of the servers of a kind, and a route to it for paths under /prices.
@@ -71,7 +71,7 @@
 // Requests of a route go to the servers of its pool alone. A reload applies another pool to servers that are known
 // already.
 func TestRequestsGoToPoolOfRouteBeforeAndAfterReload(t *testing.T) {
-	// With the deadline as its latency objective: a machine that stalls must not have the requests rejected.
+	// The latency objective equals the deadline, so that no request is rejected when the test machine stalls.
 	longObjectiveClass := strings.Replace(priceClass, `aim = "600ms"`, `aim = "3s"`, 1)
 	r := startTestInstance(t, 0, longObjectiveClass, payClass, pricesSection("second", "k1"))
 	requireRequestsToBackend := func(inPool, outside int) {
--- a/internal/app/source.go
+++ b/internal/app/source.go
@@ -14,8 +14,8 @@
 	"pinedale/internal/subset"
 )
 
-// newSource returns the source of membership. Next to ephemeral nodes, the others are merged with them; without, there
-// is only one source.
+// newSource returns the source of membership. If the file configures ephemeral nodes, its other sources are merged with
+// them; otherwise it has only one source.
 func newSource(file *config.File, log *slog.Logger) engine.Source {
 	if len(file.Ephemeral.Servers) == 0 {
 		if file.Discovery.Address != "" {
@@ -67,7 +67,7 @@
 	}
 }
 
-// newSubset returns the part of the fleet that this instance uses, nil for all of it.
+// newSubset returns the subset of the fleet that this instance uses, nil for the whole fleet.
 func newSubset(file *config.File) (engine.Subset, error) {
 	settings, ok := file.SubsetConfig()
 	if !ok {
--- a/internal/app/tenants_test.go
+++ b/internal/app/tenants_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// maxRejectionTime is how long the rejection of a request may take that waits for nothing.
+// maxRejectionTime is how long it may take to reject a request at once.
 const maxRejectionTime = 200 * time.Millisecond
 
 // Each tenant has its own limit, and a request over it is rejected at once with Retry-After.
@@ -29,7 +29,7 @@
 	statusCode, header := r.do(newRequest("duka"))
 	took := time.Since(start)
 	if statusCode != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || took > maxRejectionTime {
-		t.Errorf("the second request of a tenant that may have one: %d after %v, %v", statusCode, took, header)
+		t.Errorf("second request of a tenant with a limit of 1: status %d after %v, %v", statusCode, took, header)
 	}
 	if statusCode, _ := r.do(newRequest("soko")); statusCode != http.StatusOK {
 		t.Errorf("another tenant: status %d", statusCode)
--- a/internal/app/tls_instance_test.go
+++ b/internal/app/tls_instance_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// upstreamKeysFormat configures TLS towards servers. Its verb is upstream.http3.
+	// upstreamKeysFormat configures TLS for connections to servers. Its verb is upstream.http3.
 	upstreamKeysFormat = `[upstream]
 keys = "fleet"
 verify = "{name}.example.org"
--- a/internal/app/upstream.go
+++ b/internal/app/upstream.go
@@ -17,7 +17,7 @@
 // many instances share the budget: with fewer it could not replace broken connections.
 const minInstanceHandshakes = 1
 
-// handshakeBudget returns this instance's quota of the handshakes that a server may have.
+// handshakeBudget returns this instance's share of the handshakes that all instances may have with a server.
 func handshakeBudget(file *config.File) handshake.Config {
 	upstream := &file.Upstream
 	all := handshake.Config{
--- a/internal/app/upstream_tls_test.go
+++ b/internal/app/upstream_tls_test.go
@@ -11,8 +11,8 @@
 	"pinedale/internal/standin/wait"
 )
 
-// A server presents the certificate of another, an expired one, or one of an unknown root: over either protocol it
-// gets no request, and the other server responds to all of them. The counters name the reason.
+// One server presents the certificate of another server, an expired one, or one of an unknown root. Over either
+// protocol it gets no request, and the other server responds to all requests. The counters name the reason.
 func TestRequestsAvoidServersThatFailVerification(t *testing.T) {
 	const requests = 30
 	root, unknownRoot := ca.New(t, "root"), ca.New(t, "other")
@@ -59,7 +59,7 @@
 }
 
 // startExpiredFleet starts an instance with two servers whose certificates have expired. grace is a line of the
-// [[keys]] that are used with them.
+// [[keys]] entry that is used for them.
 func startExpiredFleet(t *testing.T, grace string) *tlsInstance {
 	t.Helper()
 	root := ca.New(t, "root")
@@ -85,7 +85,7 @@
 	}
 }
 
-// peers_over lets servers be used whose certificates have expired for no longer than it says.
+// Servers whose certificates have expired are used if peers_over is at least the time since then.
 func TestExpiredFleetIsUsedWithinGraceOnly(t *testing.T) {
 	t.Run("expired within the grace", func(t *testing.T) {
 		i := startExpiredFleet(t, `peers_over = "2h"`)
