--- a/cmd/pinedale-proxy/serve.go
+++ b/cmd/pinedale-proxy/serve.go
@@ -13,7 +13,7 @@
 
 // serve runs an instance until it has ended. SIGHUP reloads the file; any other signal begins the graceful shutdown.
 func serve(path string, file *config.File, signals <-chan os.Signal) error {
-	app.UseMemory(file)
+	app.SetMemoryLimit(file)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("instance", file.Name)
 	instance, err := app.Start(file, log)
 	if err != nil {
--- a/internal/app/fronts.go
+++ b/internal/app/fronts.go
@@ -17,9 +17,9 @@
 	// keepAliveDivisor sets the keep-alive threshold: when more than 1/keepAliveDivisor of the permitted client
 	// connections have carried a request, responses close theirs.
 	keepAliveDivisor = 3
-	// bodyMemoryDivisor: request bodies in each HTTP front may use 1/bodyMemoryDivisor of the memory.
+	// bodyMemoryDivisor bounds request bodies: each HTTP front may use 1/bodyMemoryDivisor of the memory for them.
 	bodyMemoryDivisor = 8
-	// entryMemoryDivisor: the external processor's entries may use 1/entryMemoryDivisor of the memory.
+	// entryMemoryDivisor bounds the external processor's entries to 1/entryMemoryDivisor of the memory.
 	entryMemoryDivisor = 8
 	// entryBytes is about the size of an entry: two names, a round and two attempts.
 	entryBytes = 1 << 10
--- a/internal/app/instance.go
+++ b/internal/app/instance.go
@@ -171,9 +171,9 @@
 	return binary.LittleEndian.Uint64(seed[:])
 }
 
-// UseMemory sets the garbage collector to use the memory that a file grants: collections are rare until the heap comes
+// SetMemoryLimit sets the memory limit of the runtime from limits.memory_mb: collections are rare until the heap comes
 // near the limit. A fifth is left for memory that the runtime does not count.
-func UseMemory(file *config.File) {
+func SetMemoryLimit(file *config.File) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(file.Limits.MemoryBytes() / 10 * 8)
 }
--- a/internal/app/lifecycle_test.go
+++ b/internal/app/lifecycle_test.go
@@ -161,7 +161,7 @@
 	}
 	addresses.requireFree(t)
 	waitForGoroutines(t)
-	if err := instance.Reload(file); !errors.Is(err, errEnded) {
+	if err := instance.Reload(file); !errors.Is(err, errStopped) {
 		t.Errorf("a reload after the end: %v", err)
 	}
 }
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -9,8 +9,8 @@
 	"pinedale/internal/policy"
 )
 
-// errEnded is the error of a reload after the engine has stopped.
-var errEnded = errors.New("the instance has stopped")
+// errStopped is the error of a reload after the engine has stopped.
+var errStopped = errors.New("the instance has stopped")
 
 // LoadNext loads a file for Reload. Classes, routes and budgets keep their numbers, to which requests in flight may
 // refer.
@@ -25,7 +25,7 @@
 // those of a file that LoadNext has read, and reads the files of all [[keys]] again. Requests in flight keep the rules
 // that they began with. All other settings stay as they were at the start. After an error nothing has changed.
 func (i *Instance) Reload(file *config.File) error {
-	err := errEnded
+	err := errStopped
 	i.engine.Call(func(now balancer.Micros) { err = i.configure(now, file) })
 	if err != nil {
 		return err
--- a/internal/app/upstream.go
+++ b/internal/app/upstream.go
@@ -20,14 +20,14 @@
 // handshakeBudget returns this instance's share of the handshakes that all instances may have with a server.
 func handshakeBudget(file *config.File) handshake.Config {
 	upstream := &file.Upstream
-	all := handshake.Config{
+	total := handshake.Config{
 		PerServer:          upstream.HandshakesPerServer,
 		All:                upstream.HandshakesTotal,
 		Burst:              upstream.HandshakeBurst,
 		InitialWarmupRatio: file.Fleet.SlowStartRatio,
 		WarmWithin:         time.Duration(file.Fleet.SlowStartTime),
 	}
-	return all.Share(file.Fleet.Instances, minInstanceHandshakes)
+	return total.Share(file.Fleet.Instances, minInstanceHandshakes)
 }
 
 // newSecureClient returns the client that performs the upstream's TLS handshakes, nil for plain text.
--- a/internal/config/keys_report.go
+++ b/internal/config/keys_report.go
@@ -48,9 +48,9 @@
 	for i, cert := range material.Certs {
 		role := "shows"
 		if i > 0 {
-			role = "  over" // an intermediate
+			role = "shows intermediate"
 		}
-		fmt.Fprintf(out, "  %s %s, %s, by %s, number %s, %s\n",
+		fmt.Fprintf(out, "  %s %s, %s, issued by %s, serial number %s, %s\n",
 			role, validate.NamesOf(cert), keyType(cert), cert.Issuer, cert.SerialNumber, validity(cert))
 	}
 	for _, root := range material.Roots {
@@ -75,10 +75,10 @@
 		if err != nil {
 			return err // not expected: the file has passed its checks
 		}
-		fmt.Fprintf(out, "server %q must be %s\n", s.Name, name)
+		fmt.Fprintf(out, "server %q is verified as %s\n", s.Name, name)
 	}
 	if f.Upstream.VerifyPattern != "" {
-		fmt.Fprintf(out, "any other server must be %s\n", f.Upstream.VerifyPattern)
+		fmt.Fprintf(out, "any other server is verified as %s\n", f.Upstream.VerifyPattern)
 	}
 	return nil
 }
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -178,10 +178,10 @@
 	for _, want := range []string{
 		`keys "front", used by http, ext_proc`,
 		`keys "fleet", used by upstream`,
-		"shows 127.0.0.1, ECDSA P-256, by CN=root",
+		"shows 127.0.0.1, ECDSA P-256, issued by CN=root",
 		"trusts CN=root",
 		"revokes 0 of CN=root",
-		`server "s-1" must be s-1.example.org`,
+		`server "s-1" is verified as s-1.example.org`,
 	} {
 		if !strings.Contains(report.String(), want) {
 			t.Errorf("the report is\n%swant %q", report.String(), want)
--- a/internal/measure/extproc/processors.go
+++ b/internal/measure/extproc/processors.go
@@ -90,7 +90,7 @@
 	}
 	file.ExtProc.Streams = maxStreams
 	file.Limits.MemoryMB = memoryLimitMB
-	app.UseMemory(file)
+	app.SetMemoryLimit(file)
 	instance, err := harness.StartInstance(file, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return "", nil, err
--- a/internal/measure/tlscost/proxyserver.go
+++ b/internal/measure/tlscost/proxyserver.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	app.UseMemory(file)
+	app.SetMemoryLimit(file)
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	instance, err := harness.StartInstance(file, log)
 	if err != nil {
