--- a/internal/app/cluster.go
+++ b/internal/app/cluster.go
@@ -30,7 +30,7 @@
 		Listen:        file.Peers.Listen,
 		Advertise:     file.Peers.Advertise,
 		Join:          file.Peers.Join,
-		Via:           file.Peers.Via,
+		AddressMap:    file.Peers.Via,
 		Keys:          file.PeerKeys(),
 		Voters:        file.Peers.Voters,
 		LeaseTimeout:  time.Duration(file.Peers.LeaseTimeout),
--- a/internal/certstore/files_test.go
+++ b/internal/certstore/files_test.go
@@ -17,10 +17,10 @@
 func TestGoldenFolderIsRead(t *testing.T) {
 	folder := ca.FolderAt(t, filepath.Join("testdata", "folder"))
 	store, err := Open(Options{
-		Paths: Paths{Cert: folder.Cert, Key: folder.Key, Roots: folder.Roots, Revoked: folder.Revoked},
-		Want:  validate.Requirements{Names: []string{testName}, Server: true, MinRSABits: 2048},
-		Log:   slog.New(slog.DiscardHandler),
-		Now:   testClock,
+		Paths:            Paths{Cert: folder.Cert, Key: folder.Key, Roots: folder.Roots, Revoked: folder.Revoked},
+		CertRequirements: validate.Requirements{Names: []string{testName}, Server: true, MinRSABits: 2048},
+		Log:              slog.New(slog.DiscardHandler),
+		Now:              testClock,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/certstore/store.go
+++ b/internal/certstore/store.go
@@ -28,12 +28,12 @@
 
 // Options configure a Store.
 type Options struct {
-	Paths           Paths
-	Want            validate.Requirements
-	ReplacementTime time.Duration // period over which connections are replaced after a change
-	MinTLSVersion   uint16        // tls.VersionTLS13 if 0
-	Log             *slog.Logger
-	Now             func() time.Time // clock, time.Now if nil
+	Paths            Paths
+	CertRequirements validate.Requirements
+	ReplacementTime  time.Duration // period over which connections are replaced after a change
+	MinTLSVersion    uint16        // tls.VersionTLS13 if 0
+	Log              *slog.Logger
+	Now              func() time.Time // clock, time.Now if nil
 }
 
 // snapshot is the material in use with the values that are derived from it. It is immutable.
@@ -67,7 +67,7 @@
 	}
 	s := &Store{
 		options:  options,
-		rotation: validate.NewRotation(options.Want, options.ReplacementTime),
+		rotation: validate.NewRotation(options.CertRequirements, options.ReplacementTime),
 	}
 	if decision := s.Reload(); decision.Action != validate.Accepted {
 		return nil, decision.Fault
--- a/internal/certstore/store_test.go
+++ b/internal/certstore/store_test.go
@@ -37,11 +37,11 @@
 func open(t *testing.T, folder *ca.Folder, server bool, log io.Writer) *Store {
 	t.Helper()
 	store, err := Open(Options{
-		Paths:           paths(folder),
-		Want:            validate.Requirements{Names: []string{testName}, Server: server, MinRSABits: 2048},
-		ReplacementTime: time.Minute,
-		Log:             slog.New(slog.NewTextHandler(log, nil)),
-		Now:             testClock,
+		Paths:            paths(folder),
+		CertRequirements: validate.Requirements{Names: []string{testName}, Server: server, MinRSABits: 2048},
+		ReplacementTime:  time.Minute,
+		Log:              slog.New(slog.NewTextHandler(log, nil)),
+		Now:              testClock,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -162,10 +162,10 @@
 func (f *peerFixture) server(folder *ca.Folder) *tls.Config {
 	f.t.Helper()
 	store, err := Open(Options{
-		Paths: paths(folder),
-		Want:  validate.Requirements{Server: true},
-		Log:   slog.New(slog.DiscardHandler),
-		Now:   testClock,
+		Paths:            paths(folder),
+		CertRequirements: validate.Requirements{Server: true},
+		Log:              slog.New(slog.DiscardHandler),
+		Now:              testClock,
 	})
 	if err != nil {
 		f.t.Fatal(err)
--- a/internal/certstore/validate/expiry.go
+++ b/internal/certstore/validate/expiry.go
@@ -32,10 +32,10 @@
 	for passed < len(warningThresholds) && remaining <= warningThresholds[passed] {
 		passed++
 	}
-	if passed <= r.warned {
+	if passed <= r.reportedWarnings {
 		return Warning{}, false
 	}
-	r.warned = passed
+	r.reportedWarnings = passed
 	return Warning{Remaining: remaining, Urgent: remaining <= urgentRemaining}, true
 }
 
--- a/internal/certstore/validate/expiry_test.go
+++ b/internal/certstore/validate/expiry_test.go
@@ -10,7 +10,7 @@
 // Each threshold causes one warning, and another one for the next certificate.
 func TestExpiryWarningOncePerThreshold(t *testing.T) {
 	root := ca.New(t, "root")
-	rotation := NewRotation(serverWant(), time.Minute)
+	rotation := NewRotation(serverRequirements(), time.Minute)
 	if _, ok := rotation.ExpiryWarning(noon); ok {
 		t.Error("a warning without a certificate")
 	}
--- a/internal/certstore/validate/parse_test.go
+++ b/internal/certstore/validate/parse_test.go
@@ -34,6 +34,6 @@
 			}
 			return
 		}
-		_ = material.CheckIdentity(noon, serverWant()) // any result is correct: it must not panic
+		_ = material.CheckIdentity(noon, serverRequirements()) // any result is correct: it must not panic
 	})
 }
--- a/internal/certstore/validate/retirement.go
+++ b/internal/certstore/validate/retirement.go
@@ -25,8 +25,8 @@
 func (r *Rotation) PeerRequirements(usage x509.ExtKeyUsage) ChainRequirements {
 	return ChainRequirements{
 		Usage:       usage,
-		MinRSABits:  r.want.MinRSABits,
-		ExpiryGrace: r.want.PeerExpiryGrace,
+		MinRSABits:  r.requirements.MinRSABits,
+		ExpiryGrace: r.requirements.PeerExpiryGrace,
 	}
 }
 
@@ -48,7 +48,7 @@
 			return Retirement{At: now, Reason: reason, PeerUntrusted: true}
 		}
 	}
-	if conn.Local != nil && now.After(conn.Local.NotAfter) && !r.want.AllowExpired {
+	if conn.Local != nil && now.After(conn.Local.NotAfter) && !r.requirements.AllowExpired {
 		return Retirement{At: now, Reason: "its own certificate has expired"}
 	}
 	if conn.Generation != r.generation {
--- a/internal/certstore/validate/rotation.go
+++ b/internal/certstore/validate/rotation.go
@@ -35,14 +35,14 @@
 
 // Rotation holds the material in use and decides whether other material replaces it. It is not safe for concurrent use.
 type Rotation struct {
-	want            Requirements
+	requirements    Requirements
 	replacementTime time.Duration // period over which connections are replaced after a change
 	serving         *Material     // in use; nil until files are accepted
 	generation      int           // of serving, from 1
 	since           time.Time     // when serving was accepted
 
-	pending pendingOffer
-	warned  int // number of warningThresholds that were reported for serving
+	pending          pendingOffer
+	reportedWarnings int // number of warningThresholds that were reported for serving
 }
 
 // pendingOffer is the last offer that was not accepted.
@@ -55,8 +55,8 @@
 
 // NewRotation returns a rotation without material. After a change, connections that were established before are
 // replaced over replacementTime.
-func NewRotation(want Requirements, replacementTime time.Duration) *Rotation {
-	return &Rotation{want: want, replacementTime: max(replacementTime, minReplacementTime)}
+func NewRotation(requirements Requirements, replacementTime time.Duration) *Rotation {
+	return &Rotation{requirements: requirements, replacementTime: max(replacementTime, minReplacementTime)}
 }
 
 // Serving returns the material in use and its generation, nil and 0 if none was accepted.
@@ -70,7 +70,7 @@
 		return Decision{Action: Unchanged}
 	}
 	if fault == nil {
-		fault = material.CheckIdentity(now, r.want)
+		fault = material.CheckIdentity(now, r.requirements)
 	}
 	if fault == nil {
 		r.accept(now, material)
@@ -86,7 +86,7 @@
 	r.generation++
 	r.since = now
 	r.pending.fault = nil
-	r.warned = 0
+	r.reportedWarnings = 0
 }
 
 // update records the fault of an offer. A sequence of different transient faults counts as one change.
--- a/internal/certstore/validate/rotation_test.go
+++ b/internal/certstore/validate/rotation_test.go
@@ -19,7 +19,7 @@
 	next := root.Issue(ca.Spec{Names: []string{testName}})
 	partial := files(next, root.PEM())
 	partial.Key = configured(old.Key)
-	rotation := NewRotation(serverWant(), time.Minute)
+	rotation := NewRotation(serverRequirements(), time.Minute)
 	if decision := rotation.Offer(noon, files(old, root.PEM())); decision.Action != Accepted {
 		t.Fatalf("the first offer: %+v", decision)
 	}
@@ -55,7 +55,7 @@
 // is set back, the previous material remains in use.
 func TestNotYetValidIsAcceptedOnceValid(t *testing.T) {
 	root := ca.New(t, "root")
-	rotation := NewRotation(serverWant(), time.Minute)
+	rotation := NewRotation(serverRequirements(), time.Minute)
 	rotation.Offer(noon, files(root.Issue(ca.Spec{Names: []string{testName}}), root.PEM()))
 	early := files(root.Issue(ca.Spec{Names: []string{testName}, NotBefore: noon.Add(time.Hour)}), root.PEM())
 	decision := rotation.Offer(noon, early)
@@ -88,7 +88,7 @@
 	pairs = append(pairs, other.Issue(ca.Spec{Names: []string{testName}}))
 	pairs = append(pairs, root.Issue(ca.Spec{Names: []string{"elsewhere"}}))
 	rapid.Check(t, func(t *rapid.T) {
-		rotation := NewRotation(serverWant(), time.Minute)
+		rotation := NewRotation(serverRequirements(), time.Minute)
 		change := &randomChange{
 			t:     t,
 			pairs: pairs,
@@ -138,7 +138,7 @@
 func checkOffer(t *rapid.T, rotation *Rotation, now time.Time, input Files) {
 	before, generationBefore := rotation.Serving()
 	material, fault := Parse(input)
-	valid := fault == nil && material.CheckIdentity(now, serverWant()) == nil
+	valid := fault == nil && material.CheckIdentity(now, serverRequirements()) == nil
 	decision := rotation.Offer(now, input)
 	after, generationAfter := rotation.Serving()
 	switch {
--- a/internal/certstore/validate/validate.go
+++ b/internal/certstore/validate/validate.go
@@ -34,22 +34,22 @@
 }
 
 // CheckIdentity returns the first rule that the own certificate violates at the given time, nil if it is valid.
-func (m *Material) CheckIdentity(now time.Time, want Requirements) *Fault {
+func (m *Material) CheckIdentity(now time.Time, requirements Requirements) *Fault {
 	if m.Leaf() == nil {
 		return nil // only roots are configured
 	}
-	requirements := ChainRequirements{
-		Names:      want.Names,
+	chainRequirements := ChainRequirements{
+		Names:      requirements.Names,
 		Usage:      x509.ExtKeyUsageClientAuth,
-		MinRSABits: want.MinRSABits,
+		MinRSABits: requirements.MinRSABits,
 	}
-	if want.Server {
-		requirements.Usage = x509.ExtKeyUsageServerAuth
+	if requirements.Server {
+		chainRequirements.Usage = x509.ExtKeyUsageServerAuth
 	}
-	if want.AllowExpired {
-		requirements.ExpiryGrace = math.MaxInt64
+	if requirements.AllowExpired {
+		chainRequirements.ExpiryGrace = math.MaxInt64
 	}
-	_, fault := m.checkChain(now, certFile, m.Certs, requirements)
+	_, fault := m.checkChain(now, certFile, m.Certs, chainRequirements)
 	return fault
 }
 
@@ -61,7 +61,7 @@
 func (m *Material) checkChain(
 	now time.Time, file string, chain []*x509.Certificate, requirements ChainRequirements,
 ) (verified []*x509.Certificate, fault *Fault) {
-	if fault := checkForm(file, chain, requirements); fault != nil {
+	if fault := checkStaticRules(file, chain, requirements); fault != nil {
 		return nil, fault
 	}
 	verifyAt, fault := checkValidity(now, file, chain, requirements.ExpiryGrace)
@@ -84,8 +84,8 @@
 	return verified, nil
 }
 
-// checkForm checks the rules that do not depend on time or trust: Weak, WrongName and WrongUsage.
-func checkForm(file string, chain []*x509.Certificate, requirements ChainRequirements) *Fault {
+// checkStaticRules checks the rules that do not depend on time or trust: Weak, WrongName and WrongUsage.
+func checkStaticRules(file string, chain []*x509.Certificate, requirements ChainRequirements) *Fault {
 	for i, cert := range chain {
 		if err := checkStrength(cert, requirements.MinRSABits); err != nil {
 			return &Fault{Rule: Weak, File: file, Reason: fmt.Sprintf("certificate %d: %s", i+1, err)}
--- a/internal/certstore/validate/validate_test.go
+++ b/internal/certstore/validate/validate_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// serverWant returns the requirements of a server.
-func serverWant() Requirements {
+// serverRequirements returns the requirements of a server.
+func serverRequirements() Requirements {
 	return Requirements{Names: []string{testName}, Server: true, MinRSABits: 2048}
 }
 
@@ -69,168 +69,168 @@
 	revoked := root.Issue(ca.Spec{Names: []string{testName}})
 	issuedByIntermediate := intermediate.Issue(ca.Spec{Names: []string{testName}})
 	for condition, c := range map[string]struct {
-		files  Files
-		want   Requirements
-		rule   Rule
-		reason string
+		files        Files
+		requirements Requirements
+		rule         Rule
+		reason       string
 	}{
-		"valid": {valid, serverWant(), 0, ""},
+		"valid": {valid, serverRequirements(), 0, ""},
 		"valid, with an address": {
-			files: issue(root, ca.Spec{Names: []string{"127.0.0.1"}}),
-			want:  Requirements{Names: []string{"127.0.0.1"}},
+			files:        issue(root, ca.Spec{Names: []string{"127.0.0.1"}}),
+			requirements: Requirements{Names: []string{"127.0.0.1"}},
 		},
 		"valid, with a SPIFFE ID": {
-			files: issue(root, ca.Spec{Names: []string{"spiffe://soko/pay"}}),
-			want:  Requirements{Names: []string{"spiffe://soko/pay"}},
+			files:        issue(root, ca.Spec{Names: []string{"spiffe://soko/pay"}}),
+			requirements: Requirements{Names: []string{"spiffe://soko/pay"}},
 		},
-		"valid, with an intermediate": {files(issuedByIntermediate, root.PEM()), serverWant(), 0, ""},
-		"valid, with an RSA key":      {issue(root, ca.Spec{Key: rsaKey(2048)}), serverWant(), 0, ""},
+		"valid, with an intermediate": {files(issuedByIntermediate, root.PEM()), serverRequirements(), 0, ""},
+		"valid, with an RSA key":      {issue(root, ca.Spec{Key: rsaKey(2048)}), serverRequirements(), 0, ""},
 		"roots only":                  {Files{Roots: configured(root.PEM())}, Requirements{}, 0, ""},
 		"text between the blocks": {
 			files: with(valid, func(files *Files) {
 				files.Cert.Data = append([]byte("issued for the market\n"), files.Cert.Data...)
 			}),
-			want: serverWant(),
+			requirements: serverRequirements(),
 		},
 		"file missing": {
 			files: with(valid, func(files *Files) {
 				files.Cert = File{Configured: true, Err: errors.New("no such file")}
 			}),
-			want:   serverWant(),
-			rule:   Unreadable,
-			reason: "no such file",
+			requirements: serverRequirements(),
+			rule:         Unreadable,
+			reason:       "no such file",
 		},
-		"file empty": {with(valid, func(files *Files) { files.Key.Data = nil }), serverWant(), Unreadable, "empty"},
+		"file empty": {with(valid, func(files *Files) { files.Key.Data = nil }), serverRequirements(), Unreadable, "empty"},
 		"file too large": {
-			files:  with(valid, func(files *Files) { files.Roots.Data = make([]byte, MaxFileBytes+1) }),
-			want:   serverWant(),
-			rule:   Unreadable,
-			reason: "bytes",
+			files:        with(valid, func(files *Files) { files.Roots.Data = make([]byte, MaxFileBytes+1) }),
+			requirements: serverRequirements(),
+			rule:         Unreadable,
+			reason:       "bytes",
 		},
 		"certificate truncated": {
-			files:  with(valid, func(files *Files) { files.Cert.Data = files.Cert.Data[:200] }),
-			want:   serverWant(),
-			rule:   Incomplete,
-			reason: "no end line",
+			files:        with(valid, func(files *Files) { files.Cert.Data = files.Cert.Data[:200] }),
+			requirements: serverRequirements(),
+			rule:         Incomplete,
+			reason:       "no end line",
 		},
 		"key truncated": {
-			files:  with(valid, func(files *Files) { files.Key.Data = files.Key.Data[:60] }),
-			want:   serverWant(),
-			rule:   Incomplete,
-			reason: "no end line",
+			files:        with(valid, func(files *Files) { files.Key.Data = files.Key.Data[:60] }),
+			requirements: serverRequirements(),
+			rule:         Incomplete,
+			reason:       "no end line",
 		},
 		"key in the certificate file": {
-			files:  with(valid, func(files *Files) { files.Cert.Data = validPair.Key }),
-			want:   serverWant(),
-			rule:   Incomplete,
-			reason: "no certificate",
+			files:        with(valid, func(files *Files) { files.Cert.Data = validPair.Key }),
+			requirements: serverRequirements(),
+			rule:         Incomplete,
+			reason:       "no certificate",
 		},
 		"certificate in the key file": {
-			files:  with(valid, func(files *Files) { files.Key.Data = validPair.Cert }),
-			want:   serverWant(),
-			rule:   Incomplete,
-			reason: "no private key",
+			files:        with(valid, func(files *Files) { files.Key.Data = validPair.Cert }),
+			requirements: serverRequirements(),
+			rule:         Incomplete,
+			reason:       "no private key",
 		},
 		"invalid PEM block": {with(valid, func(input *Files) {
 			input.Cert.Data = []byte("-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n")
-		}), serverWant(), Incomplete, "x509"},
+		}), serverRequirements(), Incomplete, "x509"},
 		"key of another certificate": {
-			files:  with(valid, func(files *Files) { files.Key.Data = revoked.Key }),
-			want:   serverWant(),
-			rule:   KeyMismatch,
-			reason: "does not belong to the certificate",
+			files:        with(valid, func(files *Files) { files.Key.Data = revoked.Key }),
+			requirements: serverRequirements(),
+			rule:         KeyMismatch,
+			reason:       "does not belong to the certificate",
 		},
 		"RSA key too short": {issue(root, ca.Spec{Key: rsaKey(2048)}), Requirements{MinRSABits: 3072}, Weak, "2048 bits"},
-		"curve too small":   {issue(root, ca.Spec{Key: p224}), serverWant(), Weak, "224 bits"},
+		"curve too small":   {issue(root, ca.Spec{Key: p224}), serverRequirements(), Weak, "224 bits"},
 		"another name": {
-			files:  issue(root, ca.Spec{Names: []string{"soko-4.example.org"}}),
-			want:   serverWant(),
-			rule:   WrongName,
-			reason: "soko-4.example.org",
+			files:        issue(root, ca.Spec{Names: []string{"soko-4.example.org"}}),
+			requirements: serverRequirements(),
+			rule:         WrongName,
+			reason:       "soko-4.example.org",
 		},
 		"no name": {
-			files:  issue(root, ca.Spec{Names: []string{}}),
-			want:   Requirements{Names: []string{testName}},
-			rule:   WrongName,
-			reason: "no name",
+			files:        issue(root, ca.Spec{Names: []string{}}),
+			requirements: Requirements{Names: []string{testName}},
+			rule:         WrongName,
+			reason:       "no name",
 		},
 		"two SPIFFE IDs": {
-			files:  issue(root, ca.Spec{Names: []string{"spiffe://soko/pay", "spiffe://soko/all"}}),
-			want:   Requirements{Names: []string{"spiffe://soko/pay"}},
-			rule:   WrongName,
-			reason: "spiffe://soko/all",
+			files:        issue(root, ca.Spec{Names: []string{"spiffe://soko/pay", "spiffe://soko/all"}}),
+			requirements: Requirements{Names: []string{"spiffe://soko/pay"}},
+			rule:         WrongName,
+			reason:       "spiffe://soko/all",
 		},
 		"client certificate of a server": {
-			files:  issue(root, ca.Spec{ExtKeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}),
-			want:   serverWant(),
-			rule:   WrongUsage,
-			reason: "server",
+			files:        issue(root, ca.Spec{ExtKeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}),
+			requirements: serverRequirements(),
+			rule:         WrongUsage,
+			reason:       "server",
 		},
 		"server certificate of a client": {
-			files:  issue(root, ca.Spec{ExtKeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}),
-			want:   Requirements{},
-			rule:   WrongUsage,
-			reason: "client",
+			files:        issue(root, ca.Spec{ExtKeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}),
+			requirements: Requirements{},
+			rule:         WrongUsage,
+			reason:       "client",
 		},
 		"not valid yet": {
-			files:  issue(root, ca.Spec{NotBefore: noon.Add(time.Minute)}),
-			want:   serverWant(),
-			rule:   NotYetValid,
-			reason: "2026-01-01T12:01:00Z",
+			files:        issue(root, ca.Spec{NotBefore: noon.Add(time.Minute)}),
+			requirements: serverRequirements(),
+			rule:         NotYetValid,
+			reason:       "2026-01-01T12:01:00Z",
 		},
 		"expired": {
-			files:  issue(root, ca.Spec{NotAfter: noon.Add(-time.Minute)}),
-			want:   serverWant(),
-			rule:   Expired,
-			reason: "2026-01-01T11:59:00Z",
+			files:        issue(root, ca.Spec{NotAfter: noon.Add(-time.Minute)}),
+			requirements: serverRequirements(),
+			rule:         Expired,
+			reason:       "2026-01-01T11:59:00Z",
 		},
 		"expired, which is permitted": {
-			files: issue(root, ca.Spec{NotAfter: noon.Add(-time.Minute)}),
-			want:  Requirements{Names: []string{testName}, Server: true, AllowExpired: true},
+			files:        issue(root, ca.Spec{NotAfter: noon.Add(-time.Minute)}),
+			requirements: Requirements{Names: []string{testName}, Server: true, AllowExpired: true},
 		},
-		"issued by another root": {issue(other, ca.Spec{}), serverWant(), Untrusted, "unknown authority"},
+		"issued by another root": {issue(other, ca.Spec{}), serverRequirements(), Untrusted, "unknown authority"},
 		"intermediate missing": {
-			files:  issue(intermediate, ca.Spec{OmitIntermediate: true}),
-			want:   serverWant(),
-			rule:   Untrusted,
-			reason: "unknown authority",
+			files:        issue(intermediate, ca.Spec{OmitIntermediate: true}),
+			requirements: serverRequirements(),
+			rule:         Untrusted,
+			reason:       "unknown authority",
 		},
 		"revoked": {
 			files: with(files(revoked, root.PEM()), func(files *Files) {
 				files.Revoked = configured(root.RevocationList(revoked.Leaf))
 			}),
-			want:   serverWant(),
-			rule:   Revoked,
-			reason: "revoked",
+			requirements: serverRequirements(),
+			rule:         Revoked,
+			reason:       "revoked",
 		},
 		"issuer revoked": {
 			files: with(files(issuedByIntermediate, root.PEM()), func(files *Files) {
 				files.Revoked = configured(root.RevocationList(intermediate.Cert))
 			}),
-			want:   serverWant(),
-			rule:   Revoked,
-			reason: "between",
+			requirements: serverRequirements(),
+			rule:         Revoked,
+			reason:       "between",
 		},
 		"other certificate revoked": {
-			files: with(valid, func(files *Files) { files.Revoked = configured(root.RevocationList(revoked.Leaf)) }),
-			want:  serverWant(),
+			files:        with(valid, func(files *Files) { files.Revoked = configured(root.RevocationList(revoked.Leaf)) }),
+			requirements: serverRequirements(),
 		},
 		"revocation list of another root": {
-			files:  with(valid, func(files *Files) { files.Revoked = configured(other.RevocationList(validPair.Leaf)) }),
-			want:   serverWant(),
-			rule:   Incomplete,
-			reason: "not signed by any of the roots",
+			files:        with(valid, func(files *Files) { files.Revoked = configured(other.RevocationList(validPair.Leaf)) }),
+			requirements: serverRequirements(),
+			rule:         Incomplete,
+			reason:       "not signed by any of the roots",
 		},
 		"certificate in the revocation list file": {
-			files:  with(valid, func(files *Files) { files.Revoked = configured(validPair.Cert) }),
-			want:   serverWant(),
-			rule:   Incomplete,
-			reason: "no revocation list",
+			files:        with(valid, func(files *Files) { files.Revoked = configured(validPair.Cert) }),
+			requirements: serverRequirements(),
+			rule:         Incomplete,
+			reason:       "no revocation list",
 		},
 	} {
 		material, fault := Parse(c.files)
 		if fault == nil {
-			fault = material.CheckIdentity(noon, c.want)
+			fault = material.CheckIdentity(noon, c.requirements)
 		}
 		switch {
 		case fault == nil && c.rule != 0:
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -35,9 +35,9 @@
 	Advertise string // host:port at which others reach this instance; Listen if empty
 	// Join lists other instances as name/host:port. They are contacted until they are alive.
 	Join []string
-	// Via maps names of instances to the host:port at which they are reached from here, where
+	// AddressMap maps names of instances to the host:port at which they are reached from here, where
 	// it differs from what they advertise.
-	Via map[string]string
+	AddressMap map[string]string
 	// Keys encrypt messages, with 16, 24 or 32 bytes each. The first key encrypts, all keys
 	// decrypt. Without keys, messages are sent in plain text.
 	Keys          [][]byte
--- a/internal/cluster/decision.go
+++ b/internal/cluster/decision.go
@@ -59,7 +59,7 @@
 	local := open.localResponse
 	if l.cfg.agreement(open.request.Class) == AgreeSoon && local.Shared {
 		// No other instance responded, but this one has sent another request with the key.
-		return l.shared(local.Group, open.started-local.Age)
+		return l.shared(local.Group, open.startedAt-local.Age)
 	}
 	l.counts.NoMajority++
 	reason := reasonNoMajority
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -35,9 +35,9 @@
 	counts    *Counts
 	post      PostFunc
 
-	acceptor *keylease.Acceptor    // grants leases to all instances
-	local    *keylease.Acceptor    // grants leases to this instance: known without any response
-	open     map[uint64]*openLease // requests without a decision, by request number
+	acceptor      *keylease.Acceptor    // grants leases to all instances
+	localAcceptor *keylease.Acceptor    // grants leases to this instance: known without any response
+	open          map[uint64]*openLease // requests without a decision, by request number
 }
 
 // decisionFunc receives the decision on a lease request on the engine's goroutine.
@@ -47,8 +47,8 @@
 type openLease struct {
 	lease         *keylease.Lease
 	request       engine.LeaseRequest
-	started       time.Duration
-	sent          time.Duration // when it was last sent to the voters
+	startedAt     time.Duration
+	sentAt        time.Duration // when it was last sent to the voters
 	deadline      time.Duration
 	onDecision    decisionFunc
 	localResponse keylease.Response // of the local acceptor
@@ -69,7 +69,7 @@
 	}
 	l.restartAcceptor(0)
 	limits := cfg.leaseLimits()
-	l.local = keylease.NewAcceptor(-limits.MaxDuration, limits, l.voterSet)
+	l.localAcceptor = keylease.NewAcceptor(-limits.MaxDuration, limits, l.voterSet)
 	return l
 }
 
@@ -105,11 +105,11 @@
 	open := &openLease{
 		lease:      keylease.NewLease(leaseRequest, l.voters(key)),
 		request:    request,
-		started:    now,
+		startedAt:  now,
 		deadline:   min(now+l.cfg.LeaseTimeout, now+time.Until(request.Deadline)),
 		onDecision: onDecision,
 	}
-	open.localResponse, _ = l.local.HandleRequest(now, leaseRequest)
+	open.localResponse, _ = l.localAcceptor.HandleRequest(now, leaseRequest)
 	l.open[request.Request] = open
 	l.sendRequest(now, open)
 }
@@ -123,7 +123,7 @@
 		Owner: l.owner(request.Request),
 		Term:  request.Term,
 	}
-	l.local.HandleRelease(now, release.Key, release.Owner, release.Term)
+	l.localAcceptor.HandleRelease(now, release.Key, release.Owner, release.Term)
 	for _, voter := range l.voters(key) {
 		if voter == l.cfg.Name {
 			l.handleRelease(now, release)
@@ -140,7 +140,7 @@
 		switch {
 		case now >= open.deadline:
 			l.resolve(open, true)
-		case now-open.sent >= leaseRetryInterval:
+		case now-open.sentAt >= leaseRetryInterval:
 			open.lease.Retry()
 			l.sendRequest(now, open)
 		}
@@ -150,7 +150,7 @@
 // sendRequest sends a request to all voters that have not responded. If this instance is a voter,
 // its own acceptor responds at once.
 func (l *leases) sendRequest(now time.Duration, open *openLease) {
-	open.sent = now
+	open.sentAt = now
 	for _, voter := range open.lease.Unanswered() {
 		if voter != l.cfg.Name {
 			l.transport.send(voter, open.lease.Request)
@@ -176,7 +176,7 @@
 	if open == nil || response.Owner != l.owner(number) {
 		return
 	}
-	if open.lease.HandleResponse(open.started, voter, response) {
+	if open.lease.HandleResponse(open.startedAt, voter, response) {
 		l.resolve(open, false)
 	}
 }
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -88,7 +88,7 @@
 ) (*memberlist.Config, error) {
 	options := memberlist.DefaultLANConfig()
 	options.Name = cfg.Name
-	options.Transport = &mappedTransport{netTransport, cfg.Via}
+	options.Transport = &mappedTransport{netTransport, cfg.AddressMap}
 	options.BindAddr = host
 	options.BindPort = netTransport.GetAutoBindPort()
 	options.AdvertiseAddr = host
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -43,15 +43,15 @@
 
 	// The goroutine of run owns the fields below. Methods of the modules that may be called on
 	// other goroutines say so.
-	leases      *leases
-	gossip      *gossip
-	drains      *drains
-	transport   *transport
-	store       *replication.Store
-	counts      Counts
-	schedule    schedule
-	lastTurn    time.Duration // when the last event was handled
-	longestTurn time.Duration
+	leases       *leases
+	gossip       *gossip
+	drains       *drains
+	transport    *transport
+	store        *replication.Store
+	counts       Counts
+	schedule     schedule
+	lastEventAt  time.Duration // when the last event was handled
+	longestEvent time.Duration
 }
 
 // Counts are numbers of lease requests and messages since the start.
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -84,7 +84,7 @@
 		t.Helper()
 		if err := node.runTask(t.Context(), func() {
 			node.leases.restartAcceptor(node.now() - time.Hour)
-			node.lastTurn = node.now() - stall
+			node.lastEventAt = node.now() - stall
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -150,7 +150,7 @@
 		node := newNode(Config{Name: "i", Log: slog.New(slog.DiscardHandler)}, 1, nil)
 		limits := keylease.Limits{MaxKeys: 8, MaxHolders: 2, MaxDuration: time.Second}
 		node.leases.acceptor = keylease.NewAcceptor(-time.Second, limits, 0)
-		node.leases.local = keylease.NewAcceptor(-time.Second, limits, 0)
+		node.leases.localAcceptor = keylease.NewAcceptor(-time.Second, limits, 0)
 		for range 3 {
 			node.handleMessage(data)
 		}
--- a/internal/cluster/run.go
+++ b/internal/cluster/run.go
@@ -28,23 +28,23 @@
 	for {
 		select {
 		case task := <-n.tasks:
-			n.turn(func(time.Duration) { task() })
+			n.handleEvent(func(time.Duration) { task() })
 		case data := <-n.inbox:
-			n.turn(func(time.Duration) { n.handleMessage(data) })
+			n.handleEvent(func(time.Duration) { n.handleMessage(data) })
 		case <-ticker.C:
-			n.turn(n.handleTick)
+			n.handleEvent(n.handleTick)
 		case <-n.done:
 			return
 		}
 	}
 }
 
-// turn handles one event, and measures how long that takes.
-func (n *Node) turn(handle func(now time.Duration)) {
+// handleEvent handles one event, and measures how long that takes.
+func (n *Node) handleEvent(handle func(now time.Duration)) {
 	now := n.now()
 	n.checkStall(now)
 	handle(now)
-	n.longestTurn = max(n.longestTurn, n.now()-now)
+	n.longestEvent = max(n.longestEvent, n.now()-now)
 }
 
 // checkStall suspends the acceptor if the process was stopped for long, since another process
@@ -54,8 +54,8 @@
 // synchronized with another instance, which reveals a process with the same name, and for the
 // lease duration after that.
 func (n *Node) checkStall(now time.Duration) {
-	stalled := now - n.lastTurn
-	n.lastTurn = now
+	stalled := now - n.lastEventAt
+	n.lastEventAt = now
 	// A lease duration of 0 means that no class needs leases.
 	if n.cfg.LeaseDuration > 0 && stalled > n.cfg.LeaseDuration/2 {
 		n.log.Warn("process stalled, acceptor recovering", "stalled_for", stalled)
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -37,8 +37,8 @@
 	Records         []Record             `json:"told"`        // all entries, by topic, origin and subject
 	Servers         []ServerTotal        `json:"servers"`     // sums of all origins' server entries
 	Voters          []string             `json:"witnesses"`   // as configured
-	LongestTurn     float64              `json:"longest_ms"`  // longest time that one event took, in ms
-	Uptime          float64              `json:"uptime_secs"` // in seconds
+	LongestEventMS  float64              `json:"longest_ms"`  // longest time that one event took, in ms
+	UptimeSeconds   float64              `json:"uptime_secs"` // in seconds
 }
 
 // Record is one replicated entry.
@@ -85,8 +85,8 @@
 		Counts:          n.counts,
 		Vectors:         n.store.Vectors(),
 		Voters:          n.cfg.Voters,
-		LongestTurn:     float64(n.longestTurn.Microseconds()) / 1000,
-		Uptime:          now.Seconds(),
+		LongestEventMS:  float64(n.longestEvent.Microseconds()) / 1000,
+		UptimeSeconds:   now.Seconds(),
 	}
 	status.Records = n.records(now)
 	status.Servers = serverTotals(status.Records)
--- a/internal/cluster/status_test.go
+++ b/internal/cluster/status_test.go
@@ -24,13 +24,13 @@
 		Counts: Counts{
 			Requests: 1, Exclusive: 2, Shared: 3, Denied: 4, NoMajority: 5, Received: 6, Malformed: 7, Sent: 8, Bytes: 9,
 		},
-		Vectors:     []replication.Vector{{Origin: origin, Have: 10, More: 11}},
-		Withheld:    []string{"s-1"},
-		Records:     []Record{{Origin: origin, Topic: 1, Subject: "s-1", Seq: 12, Value: []byte("v")}},
-		Servers:     []ServerTotal{{Server: "s-1", Origins: 1, Attempts: 2, Failures: 3, SlowStart: 4}},
-		Voters:      []string{"i-0"},
-		LongestTurn: 1.5,
-		Uptime:      2.5,
+		Vectors:        []replication.Vector{{Origin: origin, Have: 10, More: 11}},
+		Withheld:       []string{"s-1"},
+		Records:        []Record{{Origin: origin, Topic: 1, Subject: "s-1", Seq: 12, Value: []byte("v")}},
+		Servers:        []ServerTotal{{Server: "s-1", Origins: 1, Attempts: 2, Failures: 3, SlowStart: 4}},
+		Voters:         []string{"i-0"},
+		LongestEventMS: 1.5,
+		UptimeSeconds:  2.5,
 	}
 	const want = `{"name":"i-0","epoch":7,"at":"127.0.0.1:7946","alive":["i-0","i-1"],"quiet":"0s",` +
 		`"keys":1,"open":2,"refused":3,"dropped":4,` +
--- a/internal/cluster/statustext.go
+++ b/internal/cluster/statustext.go
@@ -11,7 +11,7 @@
 
 // Print writes the status as text for operators.
 func (s *Status) Print(out io.Writer) error {
-	fmt.Fprintf(out, "%s (epoch %d) at %s, up for %.0f s\n", s.Name, s.Epoch, s.Address, s.Uptime)
+	fmt.Fprintf(out, "%s (epoch %d) at %s, up for %.0f s\n", s.Name, s.Epoch, s.Address, s.UptimeSeconds)
 	fmt.Fprintf(out, "alive: %v\n", s.Alive)
 	fmt.Fprintf(out, "witness: %d keys held", s.AcceptorKeys)
 	if s.RecoveringFor != "0s" {
--- a/internal/config/section_keys.go
+++ b/internal/config/section_keys.go
@@ -72,7 +72,7 @@
 func (k *Keys) StoreOptions(server bool, log *slog.Logger) certstore.Options {
 	options := certstore.Options{
 		Paths: k.paths(),
-		Want: validate.Requirements{
+		CertRequirements: validate.Requirements{
 			Names:           k.Names,
 			Server:          server,
 			MinRSABits:      max(k.MinRSABits, minRSABits),
--- a/internal/standin/cert/cert.go
+++ b/internal/standin/cert/cert.go
@@ -109,9 +109,9 @@
 		}
 	}
 	store, err := certstore.Open(certstore.Options{
-		Paths: paths,
-		Want:  validate.Requirements{Server: true},
-		Log:   slog.New(slog.DiscardHandler),
+		Paths:            paths,
+		CertRequirements: validate.Requirements{Server: true},
+		Log:              slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/upstream/secure/handshake_test.go
+++ b/internal/upstream/secure/handshake_test.go
@@ -60,7 +60,7 @@
 			f.files.WriteFile(f.files.Roots, root.PEM())
 			f.files.WriteFile(f.files.Revoked, root.RevocationList(revoked.Leaf))
 			k := f.keyOptions(certstore.Paths{Roots: f.files.Roots, Revoked: f.files.Revoked})
-			k.Want = validate.Requirements{MinRSABits: minRSABits}
+			k.CertRequirements = validate.Requirements{MinRSABits: minRSABits}
 			f.reopen(f.client.options, k)
 			s := tlsbackend.Start(t, c.pair)
 			_, tcpErr := f.handshakeTCP(target(s))
--- a/internal/upstream/secure/harness_test.go
+++ b/internal/upstream/secure/harness_test.go
@@ -71,7 +71,7 @@
 	f.files.WriteFile(f.files.Roots, f.root.PEM())
 	o := f.options()
 	k := f.keyOptions(certstore.Paths{Roots: f.files.Roots})
-	k.Want = validate.Requirements{MinRSABits: minRSABits}
+	k.CertRequirements = validate.Requirements{MinRSABits: minRSABits}
 	for _, c := range change {
 		c(&o, &k)
 	}
