--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -8,12 +8,12 @@
 	"pinedale/internal/keylease"
 )
 
-// Agreement is how much a class of requests depends on other instances.
+// Agreement is whether requests of a class need a lease from a majority of voters.
 type Agreement uint8
 
 // Levels of agreement.
 const (
-	AgreeNever  Agreement = iota // each instance decides alone
+	AgreeNever  Agreement = iota // requests are sent without a lease
 	AgreeSoon                    // the request is sent after LeaseTimeout even without a majority of voters
 	AgreeAlways                  // the request is denied without a majority of voters
 )
@@ -33,10 +33,10 @@
 	Name      string // of this instance, unique in the fleet
 	Listen    string // host:port for UDP and TCP
 	Advertise string // host:port at which others reach this instance; Listen if empty
-	// Join lists other instances as name/host:port. They are contacted until they are alive.
+	// Join lists other instances as name/host:port. The node contacts those that are not alive.
 	Join []string
-	// AddressMap maps names of instances to the host:port at which they are reached from here, where
-	// it differs from what they advertise.
+	// AddressMap maps names of instances to the host:port at which this instance reaches them, if
+	// that differs from the address that they advertise.
 	AddressMap map[string]string
 	// Keys encrypt messages, with 16, 24 or 32 bytes each. The first key encrypts, all keys
 	// decrypt. Without keys, messages are sent in plain text.
@@ -44,7 +44,7 @@
 	Voters        []string // names of the instances that grant leases, the same at all instances
 	Classes       []Class  // by number
 	LeaseTimeout  time.Duration
-	LeaseDuration time.Duration // twice the longest deadline of the classes with agreement
+	LeaseDuration time.Duration // twice the longest deadline of the classes that need leases
 	Site          string
 	Build         string
 	SlowStartTime time.Duration // how long a server counts as warming up after its start
@@ -54,13 +54,12 @@
 	Log             *slog.Logger
 }
 
-// Bounds of the state of an acceptor.
+// Bounds on the state of an acceptor.
 const (
 	maxLeaseKeys       = 1 << 17
 	maxLeaseKeyHolders = 16
 )
 
-// leaseLimits returns the limits of the acceptors.
 func (c *Config) leaseLimits() keylease.Limits {
 	return keylease.Limits{
 		MaxKeys:     maxLeaseKeys,
--- a/internal/cluster/delegate.go
+++ b/internal/cluster/delegate.go
@@ -39,12 +39,12 @@
 // NotifyLeave records that an instance has left or was found dead.
 func (d *delegate) NotifyLeave(member *memberlist.Node) { d.node.members.remove(member.Name) }
 
-// NotifyAlive is called for each instance that announces itself. If one has this instance's name
-// and another address, it runs from a copy of this instance's folder, or it was started while this
+// NotifyAlive is called for each instance that announces itself. An instance with this instance's
+// name and another address runs from a copy of this instance's folder, or was started while this
 // process stalled. If both responded as one acceptor, neither would know which leases the other has
 // granted. Therefore the instance that detects the other one stops granting. An instance that joins
-// detects it at that time; the one that was there before may not, because the other members do not
-// accept the one that joins.
+// detects the other one while it joins. The one that was there before may not detect it, because the
+// other members reject the address of the instance that joins.
 func (d *delegate) NotifyAlive(member *memberlist.Node) error {
 	if member.Name != d.node.members.self || member.Address() == d.node.members.advertised {
 		return nil
@@ -52,7 +52,7 @@
 	d.node.log.Error("duplicate instance name, acceptor recovering", "name", member.Name, "address", member.Address())
 	select {
 	case d.node.tasks <- d.node.recoverFromDuplicate:
-	default: // memberlist announces the instance again
+	default: // the queue is full; memberlist will announce the instance again
 	}
 	return nil
 }
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxAdvertisedDrains bounds the draining servers that an instance advertises. More of them
-	// mean that a release is being rolled out, which all instances notice by themselves.
+	// maxAdvertisedDrains bounds the draining servers that an instance advertises. A larger number
+	// means that a release is being rolled out, which all instances detect by themselves.
 	maxAdvertisedDrains = 48
 	// drainRefreshInterval is the interval at which a drain that continues is advertised again.
 	drainRefreshInterval = drainadvisory.MaxReportAge / 2
@@ -29,7 +29,8 @@
 )
 
 // drains advertises the servers that this instance's endpoint list has as draining. It advises the
-// engine to hold back servers that the list has as ready but other instances report as draining.
+// engine to withhold new requests from servers that the list has as ready but other instances report
+// as draining.
 //
 // Servers are identified by incarnation: a drain of one incarnation does not apply to the next.
 type drains struct {
@@ -40,11 +41,11 @@
 	rng        *rand.Rand
 	log        *slog.Logger
 	post       PostFunc
-	goroutines *sync.WaitGroup // of the node, which waits for them at its end
+	goroutines *sync.WaitGroup // the node's; Close waits for them
 
 	mu          sync.Mutex
 	listed      map[string]engine.Host // this instance's endpoint list, by name
-	listChanged bool                   // since endpoints was derived from it
+	listChanged bool                   // whether listed has changed since endpoints was derived from it
 
 	// The node's goroutine owns the fields below.
 	endpoints  endpoints
@@ -61,7 +62,7 @@
 	draining []string // sorted, at most maxAdvertisedDrains
 }
 
-// advisory is a set of server incarnations to hold back.
+// advisory is a set of server incarnations that get no new requests.
 type advisory struct {
 	incarnations []string         // sorted
 	started      map[string]int64 // start times in Unix milliseconds, by name
@@ -121,7 +122,7 @@
 	}
 }
 
-// refreshEndpoints derives endpoints from this instance's list if that has changed.
+// refreshEndpoints derives endpoints from this instance's list if the list has changed.
 func (d *drains) refreshEndpoints() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -161,7 +162,7 @@
 }
 
 // withdrawEnded withdraws the drains of servers that are listed but no longer draining. A server
-// that is no longer listed has ended; its drain is withdrawn when it is too old to count.
+// that is no longer listed has terminated; its drain is withdrawn when the report is too old to count.
 func (d *drains) withdrawEnded(now time.Duration) {
 	for incarnation, advertisedAt := range d.advertised {
 		if slices.Contains(d.endpoints.draining, incarnation) {
@@ -197,7 +198,7 @@
 	}
 }
 
-// advise posts an advisory to the engine if the servers to hold back have changed.
+// advise posts an advisory to the engine if the servers that get no new requests have changed.
 func (d *drains) advise(reports []drainadvisory.Report) {
 	incarnations := drainadvisory.Withheld(d.cfg.Name, d.endpoints.ready, reports)
 	if slices.Equal(incarnations, d.advised.Load().incarnations) {
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -16,15 +16,15 @@
 const (
 	// instanceSubject is the subject of an instance's entry about itself.
 	instanceSubject = "self"
-	// instanceEntryInterval is the number of advertisements of which one, on average, is about
-	// the instance itself while there are changed tallies of servers to advertise.
+	// instanceEntryInterval is the mean number of advertisements of which one is about the
+	// instance itself, while there are changed tallies of servers to advertise.
 	instanceEntryInterval = 8
-	// minInstanceInterval is the minimum time after an advertisement about the instance itself.
+	// minInstanceInterval is the minimum time from an advertisement about the instance to the next one.
 	minInstanceInterval = time.Second
 )
 
 // gossip replicates entries: it advertises the observations of this instance, forwards rumours,
-// and repairs by anti-entropy what rumours have missed. The node's goroutine owns it, except for
+// and repairs by anti-entropy what rumours failed to deliver. The node's goroutine owns it, except for
 // tallies, which have a lock.
 type gossip struct {
 	cfg       *Config
@@ -36,7 +36,7 @@
 	log       *slog.Logger
 
 	nextAdvertisement time.Duration
-	firstBucket       int // where the next response to a digest begins
+	firstBucket       int // bucket at which the next response to a digest begins
 }
 
 // advertise writes an entry about one server whose tally has changed, or about the instance
--- a/internal/cluster/gossip_test.go
+++ b/internal/cluster/gossip_test.go
@@ -13,8 +13,8 @@
 	"pinedale/internal/standin/wait"
 )
 
-// observeAttempts has each node count ten times its number of attempts at server s-1, of which one
-// in five fails: 100 attempts and 20 failures in all for four nodes.
+// observeAttempts counts 10 attempts at server s-1 on the first node, 20 on the second, and so on. One
+// in five fails: four nodes have 100 attempts and 20 failures in total.
 func observeAttempts(nodes []*Node) {
 	startedMS := time.Now().UnixMilli()
 	for index, node := range nodes {
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// votersPerKey is the number of voters of a key. One of them may be unreachable for a time,
-	// but not both of a majority that has granted a lease.
+	// votersPerKey is the number of voters of a key. Two of them are a majority. One of the three
+	// may be unreachable for a time, but not both voters that have granted a lease.
 	votersPerKey = 3
 	// leaseRetryInterval is twice the round-trip time of a slow local network.
 	leaseRetryInterval = 20 * time.Millisecond
 	// duplicateTimeout is how long an instance grants nothing, in addition to the lease duration,
-	// after it has found another one with its name. In this time memberlist exchanges the
+	// after it has found another instance with its name. In this time memberlist exchanges the
 	// complete membership twice, which would reveal the other instance again.
 	duplicateTimeout = time.Minute
-	// forever is longer than any node runs.
+	// forever is longer than the uptime of any node.
 	forever = 100 * 365 * 24 * time.Hour
 )
 
@@ -28,15 +28,15 @@
 // the voters. The node's goroutine owns it, except for withoutMajority and post.
 type leases struct {
 	cfg       *Config
-	started   time.Time // the origin of the modules' clock
+	started   time.Time // zero of the modules' clock
 	self      replication.Origin
 	voterSet  uint64
 	transport *transport
 	counts    *Counts
 	post      PostFunc
 
-	acceptor      *keylease.Acceptor    // grants leases to all instances
-	localAcceptor *keylease.Acceptor    // grants leases to this instance: known without any response
+	acceptor      *keylease.Acceptor    // votes on the requests of all instances
+	localAcceptor *keylease.Acceptor    // grants leases to this instance only, without messages to voters
 	open          map[uint64]*openLease // requests without a decision, by request number
 }
 
@@ -73,8 +73,8 @@
 	return l
 }
 
-// restartAcceptor replaces the acceptor by one that starts at the given time. It grants nothing
-// before the lease duration after that time.
+// restartAcceptor replaces the acceptor by one that starts at the given time. The new acceptor grants
+// nothing until the lease duration has passed after that time.
 func (l *leases) restartAcceptor(at time.Duration) {
 	l.acceptor = keylease.NewAcceptor(at, l.cfg.leaseLimits(), l.voterSet)
 }
@@ -186,7 +186,7 @@
 	l.acceptor.HandleRelease(now, release.Key, release.Owner, release.Term)
 }
 
-// key returns the key of a request.
+// key returns the lease key of a request, which depends on the name of its class.
 func (l *leases) key(request engine.LeaseRequest) keylease.Key {
 	return keylease.KeyOf(l.cfg.Classes[request.Class].Name, request.Key)
 }
@@ -196,7 +196,7 @@
 	return keylease.Voters(l.cfg.Voters, key, votersPerKey)
 }
 
-// owner returns the owner of a request of this instance.
+// owner identifies a request of this instance as the owner of leases.
 func (l *leases) owner(requestNumber uint64) keylease.Owner {
 	return keylease.Owner{
 		Name:    l.self.Name,
--- a/internal/cluster/leases_test.go
+++ b/internal/cluster/leases_test.go
@@ -27,7 +27,7 @@
 	return <-acquire(node, request)
 }
 
-// Instances of one cluster with a keyring grant each key to one group.
+// In a cluster with a keyring, the voters grant each key to one group.
 func TestAcquireGrantsKeyToOneGroup(t *testing.T) {
 	nodes := startNodes(t, 5, func(_ int, c *Config) {
 		c.Keys = [][]byte{bytes.Repeat([]byte{7}, 32)}
@@ -42,23 +42,23 @@
 func testLeaseIsShared(t *testing.T, nodes []*Node) {
 	first := acquireOnce(nodes[0], engine.LeaseRequest{Key: "k", Request: 1, Term: 1, Group: "pod 1"})
 	if first.Outcome != engine.LeaseExclusive {
-		t.Fatalf("first request: %+v", first)
+		t.Fatalf("first request: %+v, want an exclusive lease", first)
 	}
 	granted := time.Now()
 	second := acquireOnce(nodes[1], engine.LeaseRequest{Key: "k", Request: 1, Term: 1, Group: "pod 2"})
 	if second.Outcome != engine.LeaseShared || second.Group != "pod 1" || second.Since.After(granted) {
-		t.Fatalf("second request: %+v", second)
+		t.Fatalf("second request: %+v, want a lease shared with group \"pod 1\"", second)
 	}
 	otherClass := acquireOnce(nodes[1], engine.LeaseRequest{Class: 1, Key: "k", Request: 2, Term: 1, Group: "pod 2"})
 	if otherClass.Outcome != engine.LeaseExclusive {
-		t.Fatalf("the same key of another class: %+v", otherClass)
+		t.Fatalf("request for the same key in another class: %+v, want an exclusive lease", otherClass)
 	}
 }
 
 func testReleasedKeyIsFree(t *testing.T, nodes []*Node) {
 	request := engine.LeaseRequest{Key: "r", Request: 3, Term: 1, Group: "pod 1"}
 	if decision := acquireOnce(nodes[2], request); decision.Outcome != engine.LeaseExclusive {
-		t.Fatalf("a key to be released: %+v", decision)
+		t.Fatalf("first request: %+v, want an exclusive lease", decision)
 	}
 	nodes[2].Release(request)
 	wait.Until(t, "the released key is free", func() bool {
@@ -90,7 +90,7 @@
 			}
 		}
 		if exclusive > 1 || len(groups) > 1 {
-			t.Fatalf("%d exclusive leases of %s, which may go to %v", exclusive, key, groups)
+			t.Fatalf("key %s: %d exclusive leases, groups %v; want at most one of each", key, exclusive, groups)
 		}
 	}
 }
@@ -110,11 +110,11 @@
 	}
 	always := acquireOnce(node, engine.LeaseRequest{Key: "k", Request: 1, Term: 1})
 	if always.Outcome != engine.LeaseDenied || always.Reason != reasonQueueFull {
-		t.Errorf("AgreeAlways: %+v", always)
+		t.Errorf("AgreeAlways: %+v, want a denial with reason %q", always, reasonQueueFull)
 	}
 	soon := acquireOnce(node, engine.LeaseRequest{Class: 1, Key: "k", Request: 2, Term: 1})
 	if soon.Outcome != engine.LeaseExclusive {
-		t.Errorf("AgreeSoon: %+v", soon)
+		t.Errorf("AgreeSoon: %+v, want an exclusive lease", soon)
 	}
 	close(unblock)
 }
@@ -128,23 +128,24 @@
 	})[0]
 	always := acquireOnce(node, engine.LeaseRequest{Key: "k", Request: 1, Term: 1})
 	if always.Outcome != engine.LeaseDenied {
-		t.Errorf("AgreeAlways: %+v", always)
+		t.Errorf("AgreeAlways: %+v, want a denial", always)
 	}
 	soon := acquireOnce(node, engine.LeaseRequest{Class: 1, Key: "k", Request: 2, Term: 1})
 	if soon.Outcome != engine.LeaseExclusive {
-		t.Errorf("AgreeSoon: %+v", soon)
+		t.Errorf("AgreeSoon: %+v, want an exclusive lease", soon)
 	}
 	// The instance still knows the requests that it has sent itself.
 	second := acquireOnce(node, engine.LeaseRequest{Class: 1, Key: "k", Request: 3, Term: 1, Group: "pod 3"})
 	if second.Outcome != engine.LeaseShared || second.Group != "" {
-		t.Errorf("AgreeSoon, second request: %+v", second)
+		t.Errorf("AgreeSoon, second request: %+v, want a lease shared with the first request's group", second)
 	}
 }
 
 func TestCoversReportsClassesWithAgreement(t *testing.T) {
 	node := startNodes(t, 1, nil)[0]
 	if node.Covers(2) || !node.Covers(0) || node.Covers(9) {
-		t.Error("Covers confuses classes")
+		t.Errorf("Covers of classes 0, 2 and 9: %t, %t, %t; want true, false, false",
+			node.Covers(0), node.Covers(2), node.Covers(9))
 	}
 }
 
@@ -159,7 +160,8 @@
 		}
 	})
 	waitReady(t, nodes)
-	// On a busy machine the other voters may respond after the timeout, which gives another reason.
+	// On a busy machine the other voters may respond after the timeout, which results in another
+	// reason. Therefore the request is repeated.
 	waitDenied := func(node *Node, reason string) {
 		t.Helper()
 		number := uint64(0)
@@ -168,7 +170,7 @@
 			request := engine.LeaseRequest{Key: fmt.Sprint("k-", number), Request: number, Term: 1}
 			decision := acquireOnce(node, request)
 			if decision.Outcome != engine.LeaseDenied {
-				t.Fatalf("%s: %+v", reason, decision)
+				t.Fatalf("want a denial with reason %q, got %+v", reason, decision)
 			}
 			return strings.Contains(decision.Reason, reason)
 		})
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -19,13 +19,13 @@
 	joinInterval = 2 * time.Second
 	// leaveTimeout bounds the announcement that this instance leaves.
 	leaveTimeout = 500 * time.Millisecond
-	// deadNodeReclaimTime is after how long an instance that was found dead may rejoin under its
-	// name with another address. It is short since the operator assigns names, and addresses may
-	// change with each start.
+	// deadNodeReclaimTime is the time after which an instance that was found dead may rejoin
+	// under the same name with another address. It is short because the operator assigns names,
+	// and addresses may change with each start.
 	deadNodeReclaimTime = time.Millisecond
 )
 
-// membership knows which instances are alive. It is safe for concurrent use after start.
+// membership tracks which instances are alive. It is safe for concurrent use after start.
 type membership struct {
 	self       string // this instance's name
 	advertised string // host:port at which others reach this instance
@@ -40,7 +40,7 @@
 	return &membership{self: self, log: logger, alive: map[string]*memberlist.Node{}}
 }
 
-// start listens and begins to exchange membership with other instances.
+// start opens the listeners and starts to exchange membership with other instances.
 func (m *membership) start(cfg *Config, callbacks *delegate) error {
 	host, port, err := splitAddress(cfg.Listen)
 	if err != nil {
@@ -75,7 +75,7 @@
 	m.advertised = net.JoinHostPort(options.AdvertiseAddr, strconv.Itoa(options.AdvertisePort))
 	list, err := memberlist.Create(options)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("peers: start memberlist: %w", err)
 	}
 	m.list = list
 	return nil
@@ -157,7 +157,7 @@
 	return len(m.alive)
 }
 
-// member returns the instance of a name, nil if it is not alive.
+// member returns the instance with the given name, nil if it is not alive.
 func (m *membership) member(name string) *memberlist.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -178,8 +178,8 @@
 	delete(m.alive, name)
 }
 
-// joinLoop contacts those of the targets that are not alive, one at a time, until done is closed.
-// Each target has the form name/host:port.
+// joinLoop contacts the targets that are not alive, one at a time, until done is closed. Each target
+// has the form name/host:port.
 func (m *membership) joinLoop(targets []string, done <-chan struct{}) {
 	if len(targets) == 0 {
 		return
@@ -211,7 +211,7 @@
 }
 
 // syncWithAny exchanges the complete membership with the first other instance that it reaches. It
-// returns false if done is closed before.
+// returns false if done is closed before that.
 func (m *membership) syncWithAny(done <-chan struct{}) bool {
 	delay := time.Duration(0)
 	for sleep(done, delay) {
@@ -230,7 +230,7 @@
 	return false
 }
 
-// sleep waits for a delay and returns false if done is closed before.
+// sleep waits for a delay. It returns false if done is closed during the delay.
 func sleep(done <-chan struct{}, delay time.Duration) bool {
 	select {
 	case <-done:
--- a/internal/cluster/membership_test.go
+++ b/internal/cluster/membership_test.go
@@ -30,12 +30,12 @@
 	nodes[0].inbox <- []byte("rubbish")
 	wait.Until(t, "the malformed message is counted", func() bool { return status(t, nodes[0]).Counts.Malformed == 1 })
 	if s := status(t, nodes[0]); !slices.Equal(s.Alive, []string{"i-0"}) || s.Counts.Received != 0 {
-		t.Errorf("messages without the key were handled: %+v", s)
+		t.Errorf("a node with another key joined, or an undecodable message was counted as received: %+v", s)
 	}
 }
 
-// An instance that runs from a copy of another's folder grants no leases. Leases of the other
-// instances are granted as before.
+// An instance that runs from a copy of another instance's folder grants no leases. The other
+// instances still get leases.
 func TestDuplicateInstanceGrantsNoLeases(t *testing.T) {
 	nodes := startNodes(t, 3, nil)
 	waitReady(t, nodes)
@@ -43,12 +43,12 @@
 		c.Join = []string{"i-1/" + nodes[1].Addr()}
 		c.Voters = []string{"i-0", "i-1", "i-2"}
 	})[0]
-	wait.Until(t, "the duplicate knows of the original", func() bool {
+	wait.Until(t, "the duplicate has detected the original", func() bool {
 		recovering, err := time.ParseDuration(status(t, duplicate).RecoveringFor)
 		return err == nil && recovering > 10*time.Second
 	})
 	decision := <-acquire(nodes[1], engine.LeaseRequest{Key: "k", Request: 1, Term: 1, Group: "pod 1"})
 	if decision.Outcome != engine.LeaseExclusive {
-		t.Errorf("beside the duplicate: %+v", decision)
+		t.Errorf("lease request while a duplicate runs: %+v, want an exclusive lease", decision)
 	}
 }
--- a/internal/cluster/message/decode.go
+++ b/internal/cluster/message/decode.go
@@ -13,7 +13,7 @@
 	"pinedale/internal/replication"
 )
 
-// maxDuration bounds a decoded age or lease duration. It is longer than any that is used.
+// maxDuration bounds a decoded age or lease duration. It is longer than any duration in use.
 const maxDuration = 365 * 24 * time.Hour
 
 // FieldError reports a field of a message that is missing or invalid.
@@ -22,13 +22,13 @@
 	Reason string
 }
 
-// Error names the field and the reason.
+// Error returns the name of the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// Errors of Decode about a message as a whole.
+// Errors of Decode that concern the entire message.
 var (
 	ErrTooLong     = errors.New("message: too long")
-	ErrUnknownType = errors.New("message: no payload of a known type")
+	ErrUnknownType = errors.New("message: unknown or missing payload type")
 )
 
 // Decode decodes a message from a peer. For any input it returns a valid message or an error:
@@ -43,7 +43,7 @@
 	}
 	from := decodeOrigin(envelope.GetFrom())
 	if from.Name == "" {
-		return Message{}, &FieldError{Field: "from", Reason: "no name"}
+		return Message{}, &FieldError{Field: "from", Reason: "sender name is missing"}
 	}
 	payload, err := decodePayload(from, envelope)
 	if err != nil {
@@ -80,11 +80,11 @@
 		return keylease.Request{}, err
 	}
 	if len(in.GetGroup()) > maxGroupBytes {
-		return keylease.Request{}, fieldErrorf("ask.group", "%d bytes, at most %d", len(in.GetGroup()), maxGroupBytes)
+		return keylease.Request{}, fieldErrorf("ask.group", "%d bytes, want at most %d", len(in.GetGroup()), maxGroupBytes)
 	}
 	owner := decodeOwner(in.GetOwner())
 	if !sentBy(owner, from) {
-		return keylease.Request{}, fieldErrorf("ask.owner", "is not the sender")
+		return keylease.Request{}, fieldErrorf("ask.owner", "does not match the sender")
 	}
 	return keylease.Request{
 		Key:      key,
@@ -96,7 +96,7 @@
 	}, nil
 }
 
-// decodeResponse decodes an unknown kind as AtCapacity, since it is not a grant either.
+// decodeResponse decodes an unknown kind as AtCapacity, because neither is a grant.
 func decodeResponse(in *peerspb.Answer) (keylease.Response, error) {
 	key, err := decodeKey(in.GetKey())
 	if err != nil {
@@ -120,7 +120,7 @@
 	}
 	owner := decodeOwner(in.GetOwner())
 	if !sentBy(owner, from) {
-		return Release{}, fieldErrorf("release.owner", "is not the sender")
+		return Release{}, fieldErrorf("release.owner", "does not match the sender")
 	}
 	return Release{Key: key, Owner: owner, Term: in.GetRound()}, nil
 }
@@ -149,7 +149,7 @@
 	out := &replication.Vectors{Response: in.GetAnswer()}
 	for _, bucket := range in.GetBuckets() {
 		if bucket >= replication.DigestBuckets {
-			return nil, fieldErrorf("vectors.buckets", "%d, at most %d", bucket, replication.DigestBuckets-1)
+			return nil, fieldErrorf("vectors.buckets", "bucket %d, want at most %d", bucket, replication.DigestBuckets-1)
 		}
 		out.Buckets = append(out.Buckets, int(bucket))
 	}
@@ -185,7 +185,7 @@
 
 func decodeEntry(in *peerspb.Entry) (replication.Entry, error) {
 	if in.GetTopic() > math.MaxUint8 {
-		return replication.Entry{}, fieldErrorf("entry.topic", "%d, at most %d", in.GetTopic(), math.MaxUint8)
+		return replication.Entry{}, fieldErrorf("entry.topic", "topic %d, want at most %d", in.GetTopic(), math.MaxUint8)
 	}
 	return replication.Entry{
 		Topic:     replication.Topic(in.GetTopic()),
@@ -228,7 +228,6 @@
 	return time.Duration(bounded) * time.Microsecond
 }
 
-// fieldErrorf returns a *FieldError.
 func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/cluster/message/encode.go
+++ b/internal/cluster/message/encode.go
@@ -11,8 +11,7 @@
 	"pinedale/internal/replication"
 )
 
-// Encode returns the encoding of a message. It fails if the type of Payload is none of those that
-// Message lists.
+// Encode returns the encoding of a message. It fails if the type of Payload is not listed at Message.
 func Encode(m Message) ([]byte, error) {
 	envelope := &peerspb.Envelope{From: encodeOrigin(m.From)}
 	switch payload := m.Payload.(type) {
@@ -31,7 +30,7 @@
 	case replication.Delta:
 		envelope.What = &peerspb.Envelope_Delta{Delta: encodeDelta(payload)}
 	default:
-		return nil, fmt.Errorf("message: unknown type of payload %T", payload)
+		return nil, fmt.Errorf("message: unknown payload type %T", payload)
 	}
 	return proto.Marshal(envelope)
 }
--- a/internal/cluster/message/golden_test.go
+++ b/internal/cluster/message/golden_test.go
@@ -13,8 +13,8 @@
 	"pinedale/internal/replication"
 )
 
-// goldenMessages returns one message for each file in testdata, with every field set. An earlier
-// build has encoded the files. They are never rewritten, because instances of two builds exchange
+// goldenMessages returns one message for each file in testdata, with every field set. The files were
+// encoded by an earlier build. They are never rewritten, because instances of two builds exchange
 // messages during a rollout.
 func goldenMessages() map[string]Message {
 	sender := replication.Origin{Name: "instance-a", Epoch: 1796000000000001}
@@ -110,7 +110,7 @@
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".binpb")
 		if _, ok := messages[name]; !ok {
-			t.Errorf("%s: no message has this name", file)
+			t.Errorf("%s: there is no message with this name", file)
 		}
 	}
 }
--- a/internal/cluster/message/message_test.go
+++ b/internal/cluster/message/message_test.go
@@ -76,11 +76,11 @@
 		}
 		data, err := Encode(Message{From: sender, Payload: payload})
 		if err != nil || len(data) > MaxBytes {
-			t.Fatalf("%d bytes, %v", len(data), err)
+			t.Fatalf("encoded %d bytes, want at most %d; error %v", len(data), MaxBytes, err)
 		}
 		got, err := Decode(data)
 		if err != nil || got.From != sender || !reflect.DeepEqual(got.Payload, payload) {
-			t.Fatalf("%+v is decoded as %+v, %v", payload, got.Payload, err)
+			t.Fatalf("%+v from %v is decoded as %+v from %v; error %v", payload, sender, got.Payload, got.From, err)
 		}
 	})
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -37,7 +37,7 @@
 	goroutines sync.WaitGroup // Close waits for all goroutines of the node
 	closeOnce  sync.Once
 	closeMu    sync.Mutex
-	closed     bool // startGoroutine does nothing
+	closed     bool // if set, startGoroutine does nothing
 
 	members *membership
 
@@ -51,7 +51,7 @@
 	counts       Counts
 	schedule     schedule
 	lastEventAt  time.Duration // when the last event was handled
-	longestEvent time.Duration
+	longestEvent time.Duration // longest time that the handling of one event took
 }
 
 // Counts are numbers of lease requests and messages since the start.
@@ -118,7 +118,8 @@
 // Addr returns the host:port that the node listens on.
 func (n *Node) Addr() string { return n.members.address() }
 
-// Close waits for the node's goroutines and announces to the other instances that this one leaves.
+// Close stops the node's goroutines, waits for them, and announces to the other instances that this
+// one leaves.
 func (n *Node) Close() {
 	n.closeOnce.Do(func() {
 		n.closeMu.Lock()
@@ -182,11 +183,11 @@
 	n.drains.endpointsUpdated(kind, list)
 }
 
-// now returns the time on the modules' clock, which is monotonic and begins at the start.
+// now returns the time on the modules' clock, which is monotonic and is 0 at the start of the node.
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
 // runTask calls task on the node's goroutine and waits until it returns. It returns ErrClosed if
-// the node is closed before.
+// the node is closed before that.
 func (n *Node) runTask(ctx context.Context, task func()) error {
 	finished := make(chan struct{})
 	run := func() {
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -17,8 +17,8 @@
 	"pinedale/internal/standin/wait"
 )
 
-// startNodes runs nodes that join each other. They are closed when the test ends. change adapts the
-// configuration of the node of an index; it may be nil.
+// startNodes runs nodes that join each other. They are closed when the test ends. change, which may
+// be nil, adjusts the configuration of the node with an index.
 func startNodes(t *testing.T, count int, change func(index int, c *Config)) []*Node {
 	t.Helper()
 	var names []string
@@ -76,8 +76,8 @@
 	})
 }
 
-// A process that stalled for more than half of the lease duration grants nothing: another process
-// with its name may have granted leases meanwhile.
+// An instance that stalled for more than half of the lease duration grants nothing, because another
+// process with its name may have granted leases in the meantime.
 func TestStalledProcessGrantsNoLeases(t *testing.T) {
 	node := startNodes(t, 1, func(_ int, c *Config) { c.LeaseDuration = time.Hour })[0]
 	recoveringAfter := func(stall time.Duration) string {
@@ -91,19 +91,19 @@
 		return status(t, node).RecoveringFor
 	}
 	if recovering := recoveringAfter(20 * time.Minute); recovering != "0s" {
-		t.Errorf("after a third of the lease duration it recovers for %s", recovering)
+		t.Errorf("stall of a third of the lease duration: recovering for %s, want 0s", recovering)
 	}
 	recovering, err := time.ParseDuration(recoveringAfter(40 * time.Minute))
 	if err != nil || recovering < forever/2 {
-		t.Errorf("after two thirds of the lease duration, without other instances, it recovers for %v, %v",
-			recovering, err)
+		t.Errorf("stall of two thirds of the lease duration, without other instances: recovering for %v, want over %v; %v",
+			recovering, forever/2, err)
 	}
-	// After it has reached another instance, it recovers like one that has just started.
+	// Once the node reaches another instance, it recovers like an instance that has just started.
 	other := startNodes(t, 1, func(_ int, c *Config) {
 		c.Name = "i-9"
 		c.Join = []string{"i-0/" + node.Addr()}
 	})[0]
-	wait.Until(t, "it has reached another instance", func() bool {
+	wait.Until(t, "the node has reached another instance", func() bool {
 		recovering, err := time.ParseDuration(status(t, node).RecoveringFor)
 		return err == nil && recovering <= time.Hour && len(status(t, other).Alive) == 2
 	})
@@ -117,11 +117,11 @@
 		node.Close()
 	}
 	if _, err := nodes[0].Status(context.Background()); !errors.Is(err, ErrClosed) {
-		t.Errorf("the status of a closed node: error %v, want %v", err, ErrClosed)
+		t.Errorf("status of a closed node: error %v, want %v", err, ErrClosed)
 	}
 }
 
-// Any message from a peer is handled or rejected, and the state that results is valid and bounded.
+// Any message from a peer is handled or rejected, and the resulting state is valid and bounded.
 func FuzzHandleMessage(f *testing.F) {
 	sender := replication.Origin{Name: "x", Epoch: 1}
 	owner := keylease.Owner{Name: "x", Epoch: 1}
@@ -155,11 +155,12 @@
 			node.handleMessage(data)
 		}
 		if node.store.Origins() > 1+len(data) || node.leases.acceptor.KeyCount() > 8 {
-			t.Fatalf("%d origins, %d keys", node.store.Origins(), node.leases.acceptor.KeyCount())
+			t.Fatalf("%d origins, want at most %d; %d keys, want at most 8",
+				node.store.Origins(), 1+len(data), node.leases.acceptor.KeyCount())
 		}
 		for _, record := range node.store.View(node.now(), topicInstance) {
 			if topics[topicInstance].Check(record.Value) != nil {
-				t.Fatalf("an invalid record is stored: %v", record)
+				t.Fatalf("stored record with an invalid value: %v", record)
 			}
 		}
 	})
--- a/internal/cluster/peerspb/peers_test.go
+++ b/internal/cluster/peerspb/peers_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// describe lists the messages of a file and their fields, one per line, in the order of the file.
+// describe lists the messages of a proto file and their fields, one per line, in the order of the file.
 func describe(file protoreflect.FileDescriptor) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "package %s %s\n", file.Package(), file.Syntax())
@@ -41,7 +41,7 @@
 	return line + "\n"
 }
 
-// The descriptors equal a list that an earlier build wrote, because instances of two builds exchange
+// The descriptors are equal to a list from an earlier build, because instances of two builds exchange
 // messages during a rollout. A new field adds a line to the list. Existing lines never change.
 func TestFieldsAreWireCompatible(t *testing.T) {
 	want, err := os.ReadFile("testdata/fields.golden")
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -26,7 +26,6 @@
 // entryTTL is how long an entry is valid. Origins write their entries again well before that.
 const entryTTL = 5 * time.Minute
 
-// topics holds the rules of all topics.
 var topics = map[replication.Topic]replication.Rule{
 	topicInstance: {TTL: entryTTL, Check: checkInstance},
 	topicServer:   {TTL: entryTTL, Check: checkServer},
@@ -39,7 +38,7 @@
 		return err
 	}
 	if rate := instance.GetRequests(); math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
-		return fmt.Errorf("requests: %v a second", rate)
+		return fmt.Errorf("invalid request rate: %v per second", rate)
 	}
 	return nil
 }
@@ -50,14 +49,14 @@
 		return err
 	}
 	if server.GetFailures() > server.GetAttempts() || server.GetCold() > server.GetAttempts() {
-		return errors.New("more failures than attempts")
+		return errors.New("more failures or slow-start attempts than attempts")
 	}
 	return nil
 }
 
 func checkDrain(value []byte) error {
 	if len(value) > 0 {
-		return fmt.Errorf("%d bytes where there is no value", len(value))
+		return fmt.Errorf("drain entry has a value of %d bytes, want none", len(value))
 	}
 	return nil
 }
--- a/internal/cluster/records_test.go
+++ b/internal/cluster/records_test.go
@@ -28,11 +28,11 @@
 	}
 	for _, rate := range []float64{math.NaN(), math.Inf(1), -1} {
 		if topics[topicInstance].Check(marshal(&peerspb.Instance{Requests: rate})) == nil {
-			t.Errorf("%v requests a second are accepted", rate)
+			t.Errorf("a rate of %v requests per second is accepted", rate)
 		}
 	}
 	failures := marshal(&peerspb.Server{Attempts: 1, Failures: 2})
 	if topics[topicServer].Check(failures) == nil || topics[topicServer].Check([]byte{0xff}) == nil {
-		t.Error("a server with more failures than attempts is accepted")
+		t.Error("a server record with more failures than attempts, or with an invalid encoding, is accepted")
 	}
 }
--- a/internal/cluster/run.go
+++ b/internal/cluster/run.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// handleEvent handles one event, and measures how long that takes.
+// handleEvent checks for a stall, handles one event, and records the longest time that this took.
 func (n *Node) handleEvent(handle func(now time.Duration)) {
 	now := n.now()
 	n.checkStall(now)
@@ -47,12 +47,12 @@
 	n.longestEvent = max(n.longestEvent, n.now()-now)
 }
 
-// checkStall suspends the acceptor if the process was stopped for long, since another process
-// with its name may have started and granted leases meanwhile. That process grants nothing for
-// the lease duration after its start, so that nothing was missed in a stall of less than half of
-// the lease duration. After a longer stall, the acceptor grants nothing until the membership is
-// synchronized with another instance, which reveals a process with the same name, and for the
-// lease duration after that.
+// checkStall suspends the acceptor if the process stalled for more than half of the lease duration,
+// because another process with the same instance name may have started and granted leases in the
+// meantime. That process grants nothing for the lease duration after its start, so that it cannot
+// have granted a lease during a shorter stall. After a longer stall, the acceptor grants nothing
+// until the membership is synchronized with another instance, which reveals a process with the same
+// name, and for the lease duration after that.
 func (n *Node) checkStall(now time.Duration) {
 	stalled := now - n.lastEventAt
 	n.lastEventAt = now
@@ -73,8 +73,8 @@
 	_ = n.runTask(context.Background(), func() { n.leases.resumeAcceptor(n.now()) })
 }
 
-// recoverFromDuplicate makes the acceptor grant nothing for some time after another instance with
-// the same name was found.
+// recoverFromDuplicate makes the acceptor grant nothing for duplicateTimeout and the lease duration
+// after another instance with the same name was found.
 func (n *Node) recoverFromDuplicate() { n.leases.restartAcceptor(n.now() + duplicateTimeout) }
 
 // handleTick does the periodic work that is due.
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -27,18 +27,18 @@
 	Address         string               `json:"at"`      // host:port that it listens on
 	Alive           []string             `json:"alive"`   // instances that are alive, this one included
 	RecoveringFor   string               `json:"quiet"`   // how long the acceptor will grant nothing
-	AcceptorKeys    int                  `json:"keys"`    // keys that the acceptor remembers
+	AcceptorKeys    int                  `json:"keys"`    // keys for which the acceptor holds state
 	OpenLeases      int                  `json:"open"`    // lease requests of this instance without a decision
-	RejectedEntries uint64               `json:"refused"` // replicated entries without capacity or invalid
+	RejectedEntries uint64               `json:"refused"` // replicated entries that were invalid or exceeded a limit
 	DroppedMessages uint64               `json:"dropped"` // messages from peers that did not fit into the queue
 	Counts          Counts               `json:"counts"`
-	Vectors         []replication.Vector `json:"have"`        // how far each origin's entries are complete
-	Withheld        []string             `json:"held"`        // incarnations of servers that get no new requests
-	Records         []Record             `json:"told"`        // all entries, by topic, origin and subject
-	Servers         []ServerTotal        `json:"servers"`     // sums of all origins' server entries
-	Voters          []string             `json:"witnesses"`   // as configured
-	LongestEventMS  float64              `json:"longest_ms"`  // longest time that one event took, in ms
-	UptimeSeconds   float64              `json:"uptime_secs"` // in seconds
+	Vectors         []replication.Vector `json:"have"`       // up to where each origin's entries are complete
+	Withheld        []string             `json:"held"`       // incarnations of servers that get no new requests
+	Records         []Record             `json:"told"`       // all entries, by topic, origin and subject
+	Servers         []ServerTotal        `json:"servers"`    // sums of all origins' server entries
+	Voters          []string             `json:"witnesses"`  // as configured
+	LongestEventMS  float64              `json:"longest_ms"` // longest time that the handling of one event took
+	UptimeSeconds   float64              `json:"uptime_secs"`
 }
 
 // Record is one replicated entry.
@@ -161,7 +161,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return status, fmt.Errorf("%s answered %s", address, response.Status)
+		return status, fmt.Errorf("status request to %s failed: HTTP status %s", address, response.Status)
 	}
 	err = json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&status)
 	return status, err
--- a/internal/cluster/statustext.go
+++ b/internal/cluster/statustext.go
@@ -13,24 +13,24 @@
 func (s *Status) Print(out io.Writer) error {
 	fmt.Fprintf(out, "%s (epoch %d) at %s, up for %.0f s\n", s.Name, s.Epoch, s.Address, s.UptimeSeconds)
 	fmt.Fprintf(out, "alive: %v\n", s.Alive)
-	fmt.Fprintf(out, "witness: %d keys held", s.AcceptorKeys)
+	fmt.Fprintf(out, "acceptor: %d keys", s.AcceptorKeys)
 	if s.RecoveringFor != "0s" {
-		fmt.Fprintf(out, "; answers nothing for another %s, since it has started", s.RecoveringFor)
+		fmt.Fprintf(out, "; grants no leases for another %s", s.RecoveringFor)
 	}
 	counts := s.Counts
-	fmt.Fprintf(out, "\nclaims: %d, of them %d clear, %d shared, %d refused, %d without a majority's word\n",
+	fmt.Fprintf(out, "\nlease requests: %d, of these %d exclusive, %d shared, %d denied, %d without a majority\n",
 		counts.Requests, counts.Exclusive, counts.Shared, counts.Denied, counts.NoMajority)
-	fmt.Fprintf(out, "messages: %d heard, %d sent (%d bytes), %d made no sense, %d found no room; %d entries left out\n",
+	fmt.Fprintf(out, "messages: %d received, %d sent (%d bytes), %d malformed, %d dropped; %d entries rejected\n",
 		counts.Received, counts.Sent, counts.Bytes, counts.Malformed, s.DroppedMessages, s.RejectedEntries)
 	if len(s.Withheld) > 0 {
-		fmt.Fprintf(out, "held back, since others know that they drain: %v\n", s.Withheld)
+		fmt.Fprintf(out, "withheld, because other instances report them as draining: %v\n", s.Withheld)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "origin\tepoch\tall up to")
+	fmt.Fprintln(table, "origin\tepoch\tcomplete up to")
 	for _, vector := range s.Vectors {
 		fmt.Fprintf(table, "%s\t%d\t%d\n", vector.Origin.Name, vector.Origin.Epoch, vector.Have)
 	}
-	fmt.Fprintln(table, "server\ttold by\tattempts\tfailed\twhile cold")
+	fmt.Fprintln(table, "server\treported by\tattempts\tfailures\tduring slow start")
 	for _, total := range s.Servers {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\n",
 			total.Server, total.Origins, total.Attempts, total.Failures, total.SlowStart)
@@ -59,24 +59,23 @@
 		other, ok := recordsOfB[id]
 		switch {
 		case !ok:
-			addLine("%v: %s has number %d, %s nothing", id, a.Name, record.Seq, b.Name)
+			addLine("%v: %s has sequence number %d, %s has no record", id, a.Name, record.Seq, b.Name)
 		case record.Seq != other.Seq:
-			addLine("%v: %s has number %d, %s number %d", id, a.Name, record.Seq, b.Name, other.Seq)
+			addLine("%v: %s has sequence number %d, %s has %d", id, a.Name, record.Seq, b.Name, other.Seq)
 		}
 	}
 	for id, record := range recordsOfB {
 		if _, ok := recordsOfA[id]; !ok {
-			addLine("%v: %s has nothing, %s number %d", id, a.Name, b.Name, record.Seq)
+			addLine("%v: %s has no record, %s has sequence number %d", id, a.Name, b.Name, record.Seq)
 		}
 	}
 	if !slices.Equal(a.Voters, b.Voters) {
-		addLine("the files name other witnesses: %v at %s, %v at %s", a.Voters, a.Name, b.Voters, b.Name)
+		addLine("configured voters (witnesses) differ: %v at %s, %v at %s", a.Voters, a.Name, b.Voters, b.Name)
 	}
 	slices.Sort(lines)
 	return lines
 }
 
-// recordsByID returns the records of a status by their identity.
 func recordsByID(status *Status) map[recordID]Record {
 	records := map[recordID]Record{}
 	for _, record := range status.Records {
--- a/internal/cluster/transport.go
+++ b/internal/cluster/transport.go
@@ -91,7 +91,7 @@
 	return t.NetTransport.DialAddressTimeout(t.mapped(address), timeout)
 }
 
-// mapped returns the address under which an instance is reached from here.
+// mapped returns the address at which this instance reaches another one.
 func (t *mappedTransport) mapped(address memberlist.Address) memberlist.Address {
 	if replacement, ok := t.addresses[address.Name]; ok {
 		address.Addr = replacement
