--- a/internal/certstore/files.go
+++ b/internal/certstore/files.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// readFile reads a file up to one byte over the permitted size, which is how package validate detects that it is too
+// readFile reads at most one byte more than the permitted size, so that package validate can detect a file that is too
 // large.
 func readFile(path string) validate.File {
 	if path == "" {
--- a/internal/certstore/files_test.go
+++ b/internal/certstore/files_test.go
@@ -11,9 +11,9 @@
 	"pinedale/internal/standin/ca"
 )
 
-// A folder in the form that operators use is read as by earlier builds: a chain, a key in SEC 1 form, two roots and a
-// revocation list, each with a comment before its blocks. The secret that HTTP/3 derives from the key must not change,
-// so that clients still recognize stateless resets after an upgrade.
+// A folder in the form that operators use is read in the same way as by earlier builds: a chain, a key in SEC 1 form,
+// two roots and a revocation list, each with a comment before its blocks. The secret that HTTP/3 derives from the key
+// must not change, so that clients still recognize stateless resets after an upgrade.
 func TestGoldenFolderIsRead(t *testing.T) {
 	folder := ca.FolderAt(t, filepath.Join("testdata", "folder"))
 	store, err := Open(Options{
--- a/internal/certstore/lifetime.go
+++ b/internal/certstore/lifetime.go
@@ -66,7 +66,7 @@
 }
 
 // update sets the retirement unless an earlier one is set. A second change of the material does not postpone the
-// retirement because of the first.
+// retirement that the first one has caused.
 func (l *Lifetime) update(next validate.Retirement) {
 	if next.At.IsZero() {
 		return
--- a/internal/certstore/store.go
+++ b/internal/certstore/store.go
@@ -21,7 +21,7 @@
 
 var (
 	// ErrNoRoots is returned for a client configuration without trusted roots.
-	ErrNoRoots = errors.New("no roots are configured, which the verification of a peer requires")
+	ErrNoRoots = errors.New("no trusted roots are configured for the verification of peers")
 	// ErrNoPrivateKey is returned if a secret cannot be derived because there is no private key.
 	ErrNoPrivateKey = errors.New("no private key is configured")
 )
@@ -178,7 +178,7 @@
 // Generation returns the generation of the material in use, from 1.
 func (s *Store) Generation() int { return s.current.Load().generation }
 
-// Retirement returns when a connection must carry no new requests any more.
+// Retirement returns the time after which a connection must carry no new requests.
 func (s *Store) Retirement(conn validate.Conn) validate.Retirement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/certstore/store_test.go
+++ b/internal/certstore/store_test.go
@@ -103,7 +103,7 @@
 	_, err := Open(Options{Paths: paths(ca.NewFolder(t)), Log: slog.New(slog.DiscardHandler)})
 	var fault *validate.Fault
 	if !errors.As(err, &fault) || fault.Rule != validate.Unreadable {
-		t.Errorf("no files: %v", err)
+		t.Errorf("Open without files: error %v, want one that a file is unreadable", err)
 	}
 }
 
@@ -119,13 +119,13 @@
 	for range 3 {
 		decision := store.Reload()
 		if decision.Action != validate.Rejected || decision.Fault.Rule != validate.WrongName {
-			t.Errorf("a certificate of another name: %+v", decision)
+			t.Errorf("certificate for another name: %+v, want a rejection because of the name", decision)
 		}
 	}
 	logged := log.String()
 	if strings.Count(logged, "certificate files rejected") != 1 ||
 		!strings.Contains(logged, "soko-4.example.org") || strings.Contains(logged, "PRIVATE") {
-		t.Errorf("logged %q", logged)
+		t.Errorf("logged %q, want one rejection with the certificate's name and no private key", logged)
 	}
 	if c := store.Counters(); c.Accepted != 1 || c.Rejected != 3 || c.Remaining != 12*time.Hour {
 		t.Errorf("counters %+v", c)
@@ -179,16 +179,16 @@
 	f := &peerFixture{t, ca.New(t, "root")}
 	serverErr, clientErr := handshake(t, f.server(f.folder(testName)), f.client())
 	if serverErr != nil || clientErr != nil {
-		t.Errorf("two valid sides: %v, %v", serverErr, clientErr)
+		t.Errorf("server error %v, client error %v, want none", serverErr, clientErr)
 	}
 }
 
-// A server is verified by the name that is configured for it.
+// The client verifies a server by the name that is configured for it.
 func TestClientRejectsServerOfOtherName(t *testing.T) {
 	f := &peerFixture{t, ca.New(t, "root")}
 	_, clientErr := handshake(t, f.server(f.folder("soko-4.example.org")), f.client())
 	if clientErr == nil || !strings.Contains(clientErr.Error(), "soko-4.example.org") {
-		t.Errorf("a server of another name: %v", clientErr)
+		t.Errorf("server with another name: client error %v, want one with that name", clientErr)
 	}
 }
 
@@ -198,7 +198,7 @@
 	unknown.WritePair(ca.New(t, "other").Issue(ca.Spec{Names: []string{testName}}))
 	unknown.Roots = ""
 	if _, clientErr := handshake(t, f.server(unknown), f.client()); clientErr == nil {
-		t.Error("a server of an unknown root was trusted")
+		t.Error("the client accepted a server with a certificate of an unknown root")
 	}
 }
 
@@ -206,7 +206,7 @@
 	f := &peerFixture{t, ca.New(t, "root")}
 	anonymous := &tls.Config{InsecureSkipVerify: true, Time: testClock}
 	if serverErr, _ := handshake(t, f.server(f.folder(testName)), anonymous); serverErr == nil {
-		t.Error("a client without a certificate was admitted")
+		t.Error("the server accepted a client without a certificate")
 	}
 }
 
--- a/internal/certstore/tlsconfig.go
+++ b/internal/certstore/tlsconfig.go
@@ -25,7 +25,7 @@
 	return config
 }
 
-// Server returns a server configuration for some protocols (ALPN, RFC 7301). Each connection uses the material
+// Server returns a server configuration for the given protocols (ALPN, RFC 7301). Each connection uses the material
 // that is current when it is accepted. Clients must present a certificate if there are trusted roots.
 func (s *Store) Server(protocols ...string) *tls.Config {
 	cache := &serverConfigCache{store: s, protocols: protocols}
@@ -36,7 +36,7 @@
 	}
 }
 
-// serverConfigCache holds the server configuration of the current snapshot for some protocols. It clones the
+// serverConfigCache holds the server configuration of the current snapshot for given protocols. It clones the
 // configuration once per snapshot instead of once per connection.
 type serverConfigCache struct {
 	store     *Store
--- a/internal/certstore/validate/expiry_test.go
+++ b/internal/certstore/validate/expiry_test.go
@@ -7,7 +7,7 @@
 	"pinedale/internal/standin/ca"
 )
 
-// Each threshold causes one warning, and another one for the next certificate.
+// Each threshold causes one warning. A new certificate that is valid for months causes none.
 func TestExpiryWarningOncePerThreshold(t *testing.T) {
 	root := ca.New(t, "root")
 	rotation := NewRotation(serverRequirements(), time.Minute)
--- a/internal/certstore/validate/material.go
+++ b/internal/certstore/validate/material.go
@@ -18,7 +18,7 @@
 	Err        error
 }
 
-// Files are the files of one identity and its trust.
+// Files are the files of one identity and of the roots that it trusts.
 type Files struct {
 	Cert    File
 	Key     File
@@ -45,7 +45,7 @@
 // Material is the parsed content of a set of files. It is immutable except for its cache of verified chains, and safe
 // for concurrent use.
 type Material struct {
-	Certs           []*x509.Certificate // the identity's chain, leaf first; empty if only trust is configured
+	Certs           []*x509.Certificate // the identity's chain, leaf first; empty if only roots are configured
 	Key             crypto.Signer
 	Roots           []*x509.Certificate
 	RevocationLists []*x509.RevocationList
@@ -115,9 +115,9 @@
 		case file.Err != nil:
 			reason = file.Err.Error()
 		case len(file.Data) == 0:
-			reason = "it is empty"
+			reason = "file is empty"
 		case len(file.Data) > MaxFileBytes:
-			reason = fmt.Sprintf("it has over %d bytes", MaxFileBytes)
+			reason = fmt.Sprintf("file is larger than %d bytes", MaxFileBytes)
 		}
 		if reason != "" {
 			return &Fault{Rule: Unreadable, File: entry.name, Reason: reason}
--- a/internal/certstore/validate/names.go
+++ b/internal/certstore/validate/names.go
@@ -15,7 +15,7 @@
 func MatchName(cert *x509.Certificate, name string) error {
 	if strings.HasPrefix(name, spiffeScheme) {
 		if len(cert.URIs) != 1 || cert.URIs[0].String() != name {
-			return fmt.Errorf("it is not for %s but for %s", name, NamesOf(cert))
+			return fmt.Errorf("certificate is not valid for %s (names: %s)", name, NamesOf(cert))
 		}
 		return nil
 	}
@@ -24,12 +24,12 @@
 		host = "[" + name + "]" // the form in which VerifyHostname expects addresses
 	}
 	if err := cert.VerifyHostname(host); err != nil {
-		return fmt.Errorf("it is not for %s but for %s", strings.Trim(host, "[]"), NamesOf(cert))
+		return fmt.Errorf("certificate is not valid for %s (names: %s)", strings.Trim(host, "[]"), NamesOf(cert))
 	}
 	return nil
 }
 
-// NamesOf returns the names that a certificate is valid for, in the form of logs.
+// NamesOf returns the names that a certificate is valid for, as text for logs.
 func NamesOf(cert *x509.Certificate) string {
 	var names []string
 	names = append(names, cert.DNSNames...)
--- a/internal/certstore/validate/parse.go
+++ b/internal/certstore/validate/parse.go
@@ -24,9 +24,9 @@
 
 // Errors of private keys. They do not wrap the parser's error, which may contain parts of the key.
 var (
-	errKeyEncrypted  = errors.New("it is encrypted, which is not supported")
-	errKeyUnreadable = errors.New("it holds no private key that can be read")
-	errKeyCannotSign = errors.New("its key cannot sign")
+	errKeyEncrypted  = errors.New("private key is encrypted, which is not supported")
+	errKeyUnreadable = errors.New("private key cannot be parsed")
+	errKeyCannotSign = errors.New("private key cannot sign")
 )
 
 // certID identifies a certificate of any issuer.
@@ -51,7 +51,7 @@
 	// All public key types of the standard library have Equal.
 	public, ok := m.Key.Public().(interface{ Equal(crypto.PublicKey) bool })
 	if !ok || !public.Equal(m.Certs[0].PublicKey) {
-		return &Fault{Rule: KeyMismatch, File: keyFile, Reason: "it does not belong to the certificate"}
+		return &Fault{Rule: KeyMismatch, File: keyFile, Reason: "private key does not belong to the certificate"}
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 		return err
 	})
 	if fault == nil && len(certs) == 0 {
-		fault = &Fault{Rule: Incomplete, File: file, Reason: "it holds no certificate"}
+		fault = &Fault{Rule: Incomplete, File: file, Reason: "file contains no certificate"}
 	}
 	return certs, fault
 }
@@ -100,7 +100,7 @@
 		return err
 	})
 	if fault == nil && key == nil {
-		fault = &Fault{Rule: Incomplete, File: keyFile, Reason: "it holds no private key"}
+		fault = &Fault{Rule: Incomplete, File: keyFile, Reason: "file contains no private key"}
 	}
 	return key, fault
 }
@@ -144,7 +144,7 @@
 		return m.addRevocationList(list)
 	})
 	if fault == nil && len(m.RevocationLists) == 0 {
-		fault = &Fault{Rule: Incomplete, File: revokedFile, Reason: "it holds no revocation list"}
+		fault = &Fault{Rule: Incomplete, File: revokedFile, Reason: "file contains no revocation list"}
 	}
 	return fault
 }
@@ -162,7 +162,7 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("the list of %s is not signed by any of the roots", list.Issuer)
+	return fmt.Errorf("revocation list issued by %s is not signed by any of the roots", list.Issuer)
 }
 
 // IsRevoked reports whether one of the revocation lists contains a certificate.
--- a/internal/certstore/validate/peer.go
+++ b/internal/certstore/validate/peer.go
@@ -17,7 +17,7 @@
 		return &Fault{Rule: Incomplete, File: peerChain, Reason: errNoCertificate.Error()}
 	}
 	if len(m.Roots) == 0 {
-		reason := "no roots are configured, which the verification of a peer requires"
+		reason := "no trusted roots are configured for the verification of peers"
 		return &Fault{Rule: Untrusted, File: peerChain, Reason: reason}
 	}
 	key := cacheKey(presented, requirements)
--- a/internal/certstore/validate/retirement.go
+++ b/internal/certstore/validate/retirement.go
@@ -7,7 +7,7 @@
 
 // Conn describes an established connection.
 type Conn struct {
-	ID         uint64              // unique among connections; determines the position of the retirement
+	ID         uint64              // unique among connections; determines when the connection retires after a change
 	Generation int                 // of the material in use when the connection was established
 	Local      *x509.Certificate   // presented to the peer, nil for none
 	Peer       []*x509.Certificate // presented by the peer, leaf first; empty for none
@@ -21,7 +21,7 @@
 	PeerUntrusted bool // the peer would be rejected now, and no more data may be exchanged with it
 }
 
-// PeerRequirements returns the requirements of a peer of any name.
+// PeerRequirements returns the requirements on a peer of any name.
 func (r *Rotation) PeerRequirements(usage x509.ExtKeyUsage) ChainRequirements {
 	return ChainRequirements{
 		Usage:       usage,
@@ -33,7 +33,7 @@
 // Retirement returns when a connection retires:
 //
 //	the peer's chain would be rejected now  now
-//	its own certificate has expired         now
+//	the local certificate has expired       now
 //	its material was replaced               at a time that depends on its ID, in the period after the replacement
 //
 // For a resumed session, conn.Peer is the chain that was verified when the ticket was issued, since the peer has proved
@@ -49,7 +49,7 @@
 		}
 	}
 	if conn.Local != nil && now.After(conn.Local.NotAfter) && !r.requirements.AllowExpired {
-		return Retirement{At: now, Reason: "its own certificate has expired"}
+		return Retirement{At: now, Reason: "the local certificate has expired"}
 	}
 	if conn.Generation != r.generation {
 		delay := time.Duration(SpreadPosition(conn.ID) * float64(r.replacementTime))
--- a/internal/certstore/validate/retirement_test.go
+++ b/internal/certstore/validate/retirement_test.go
@@ -90,7 +90,7 @@
 	}
 	for part, n := range retired {
 		if len(retired) != parts || n < 800 || n > 1200 {
-			t.Errorf("in part %d of the hour %d of %d retire: %v", part, n, connections, retired)
+			t.Errorf("in part %d of the hour %d of %d retire, want 800 to 1200: %v", part, n, connections, retired)
 		}
 	}
 	f.wantNone(t, f.changedAt, f.conn(f.newPeer, 2))
@@ -123,7 +123,7 @@
 	conn := f.conn(f.peer, 1)
 	conn.Peer = nil
 	afterExpiry := f.local.Leaf.NotAfter.Add(time.Second)
-	f.wantRetirement(t, afterExpiry, conn, "own certificate has expired")
+	f.wantRetirement(t, afterExpiry, conn, "local certificate has expired")
 	if f.rotation.Retirement(afterExpiry, conn).PeerUntrusted {
 		t.Error("the peer is reported as untrusted")
 	}
--- a/internal/certstore/validate/rotation_test.go
+++ b/internal/certstore/validate/rotation_test.go
@@ -21,16 +21,16 @@
 	partial.Key = configured(old.Key)
 	rotation := NewRotation(serverRequirements(), time.Minute)
 	if decision := rotation.Offer(noon, files(old, root.PEM())); decision.Action != Accepted {
-		t.Fatalf("the first offer: %+v", decision)
+		t.Fatalf("first offer: %+v, want Accepted", decision)
 	}
 	changedAt := noon.Add(time.Minute)
 	decision := rotation.Offer(changedAt, partial)
 	if decision.Action != Pending || decision.Report || !decision.RecheckAt.Equal(changedAt.Add(SettleTime)) {
-		t.Errorf("a new certificate with the old key: %+v", decision)
+		t.Errorf("new certificate with the old key: %+v, want Pending without a report", decision)
 	}
 	decision = rotation.Offer(changedAt.Add(SettleTime/2), files(next, root.PEM()))
 	if decision.Action != Accepted || !decision.Report {
-		t.Errorf("the complete change: %+v", decision)
+		t.Errorf("new certificate with its key: %+v, want Accepted with a report", decision)
 	}
 	changedAt = changedAt.Add(time.Hour)
 	partial = files(old, root.PEM())
@@ -44,10 +44,10 @@
 		}
 	}
 	if decision := rotation.Offer(changedAt.Add(time.Hour), files(next, root.PEM())); decision.Action != Unchanged {
-		t.Errorf("the change undone: %+v", decision)
+		t.Errorf("offer of the files in use: %+v, want Unchanged", decision)
 	}
 	if material, generation := rotation.Serving(); generation != 2 || !material.Leaf().Equal(next.Leaf) {
-		t.Errorf("generation %d serves", generation)
+		t.Errorf("generation %d is in use, want 2 with the new certificate", generation)
 	}
 }
 
@@ -60,19 +60,19 @@
 	early := files(root.Issue(ca.Spec{Names: []string{testName}, NotBefore: noon.Add(time.Hour)}), root.PEM())
 	decision := rotation.Offer(noon, early)
 	if decision.Action != Pending || !decision.Report || !decision.RecheckAt.Equal(noon.Add(time.Hour)) {
-		t.Errorf("early: %+v", decision)
+		t.Errorf("first offer before the validity: %+v, want Pending with a report", decision)
 	}
 	if decision := rotation.Offer(noon.Add(time.Minute), early); decision.Action != Pending || decision.Report {
-		t.Errorf("still early: %+v", decision)
+		t.Errorf("second offer before the validity: %+v, want Pending without a report", decision)
 	}
 	if decision := rotation.Offer(noon.Add(-48*time.Hour), early); decision.Action != Pending {
-		t.Errorf("the clock set back: %+v", decision)
+		t.Errorf("offer after the clock was set back: %+v, want Pending", decision)
 	}
 	if _, generation := rotation.Serving(); generation != 1 {
-		t.Errorf("generation %d serves", generation)
+		t.Errorf("generation %d is in use, want 1", generation)
 	}
 	if decision := rotation.Offer(noon.Add(time.Hour), early); decision.Action != Accepted {
-		t.Errorf("in time: %+v", decision)
+		t.Errorf("offer at the start of the validity: %+v, want Accepted", decision)
 	}
 }
 
@@ -144,19 +144,19 @@
 	switch {
 	case valid && material.Equal(before):
 		if decision.Action != Unchanged || generationAfter != generationBefore {
-			t.Fatalf("nothing has changed, and got %+v", decision)
+			t.Fatalf("unchanged files: %+v, want Unchanged", decision)
 		}
 	case valid:
 		if decision.Action != Accepted || !after.Equal(material) || generationAfter != generationBefore+1 {
-			t.Fatalf("a valid set was not accepted: %+v", decision)
+			t.Fatalf("valid files: %+v, want Accepted and the next generation", decision)
 		}
 	default:
 		if after != before || decision.Action == Accepted ||
 			decision.Action == Pending && !decision.RecheckAt.After(now) {
-			t.Fatalf("a set that violates a rule: %+v", decision)
+			t.Fatalf("files that violate a rule: %+v, want Rejected or Pending with a later recheck", decision)
 		}
 		if decision.Action != Unchanged && decision.Fault == nil {
-			t.Fatalf("no reason: %+v", decision)
+			t.Fatalf("decision without a fault: %+v", decision)
 		}
 	}
 }
--- a/internal/certstore/validate/validate.go
+++ b/internal/certstore/validate/validate.go
@@ -15,17 +15,17 @@
 // minCurveBits is the minimum size of an elliptic curve.
 const minCurveBits = 256
 
-// Requirements are the operator's requirements of an identity and of peers.
+// Requirements are the operator's requirements on an identity and on peers.
 type Requirements struct {
 	Names        []string // DNS names, IP addresses or spiffe:// URIs that the certificate must be valid for
 	Server       bool     // the certificate is presented by a server, otherwise by a client
 	MinRSABits   int      // minimum size of an RSA key
-	AllowExpired bool     // accept an expired own certificate, in emergencies
+	AllowExpired bool     // accept an expired certificate of the identity, for emergencies
 	// PeerExpiryGrace is how long an expired certificate of a peer is still accepted.
 	PeerExpiryGrace time.Duration
 }
 
-// ChainRequirements are the requirements of a certificate chain.
+// ChainRequirements are the requirements on a certificate chain.
 type ChainRequirements struct {
 	Names       []string // the leaf must be valid for all of them
 	Usage       x509.ExtKeyUsage
@@ -33,7 +33,7 @@
 	ExpiryGrace time.Duration // how long an expired leaf is still accepted
 }
 
-// CheckIdentity returns the first rule that the own certificate violates at the given time, nil if it is valid.
+// CheckIdentity returns the first rule that the identity's certificate violates at the given time, nil if it is valid.
 func (m *Material) CheckIdentity(now time.Time, requirements Requirements) *Fault {
 	if m.Leaf() == nil {
 		return nil // only roots are configured
@@ -69,7 +69,7 @@
 		return nil, fault
 	}
 	if len(m.Roots) == 0 {
-		return nil, nil // the own identity without roots: peers decide whether to trust it
+		return nil, nil // an identity without roots: its peers decide whether to trust it
 	}
 	verified, err := m.VerifyChain(verifyAt, chain, requirements.Usage)
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 	for _, cert := range verified {
 		if m.IsRevoked(cert) {
-			reason := fmt.Sprintf("%s, number %s, is revoked", cert.Subject, cert.SerialNumber)
+			reason := fmt.Sprintf("certificate %s with serial number %s is revoked", cert.Subject, cert.SerialNumber)
 			return nil, &Fault{Rule: Revoked, File: file, Reason: reason}
 		}
 	}
@@ -102,19 +102,19 @@
 		if requirements.Usage == x509.ExtKeyUsageServerAuth {
 			side = "server"
 		}
-		return &Fault{Rule: WrongUsage, File: file, Reason: "it is not meant for a " + side}
+		return &Fault{Rule: WrongUsage, File: file, Reason: "certificate is not meant for a " + side}
 	}
 	return nil
 }
 
 // checkValidity checks NotYetValid and Expired. It returns the time for which the chain must be verified: now, or the
-// expiry of the leaf if the leaf has expired within the grace.
+// expiry of the leaf if the leaf has expired within the grace period.
 func checkValidity(
 	now time.Time, file string, chain []*x509.Certificate, grace time.Duration,
 ) (verifyAt time.Time, fault *Fault) {
 	for _, cert := range chain {
 		if now.Before(cert.NotBefore) {
-			reason := "it is valid from " + cert.NotBefore.UTC().Format(time.RFC3339)
+			reason := "certificate is only valid from " + cert.NotBefore.UTC().Format(time.RFC3339)
 			return now, &Fault{Rule: NotYetValid, File: file, ValidFrom: cert.NotBefore, Reason: reason}
 		}
 	}
@@ -123,7 +123,7 @@
 		return now, nil
 	}
 	if now.Sub(expiry) > grace {
-		reason := "it was valid until " + expiry.UTC().Format(time.RFC3339)
+		reason := "certificate was valid until " + expiry.UTC().Format(time.RFC3339)
 		return now, &Fault{Rule: Expired, File: file, Reason: reason}
 	}
 	return expiry, nil
@@ -159,22 +159,22 @@
 	switch key := cert.PublicKey.(type) {
 	case *rsa.PublicKey:
 		if bits := key.N.BitLen(); bits < minRSABits {
-			return fmt.Errorf("RSA with %d bits, at least %d are required", bits, minRSABits)
+			return fmt.Errorf("RSA key has %d bits, at least %d are required", bits, minRSABits)
 		}
 	case *ecdsa.PublicKey:
 		if bits := key.Curve.Params().BitSize; bits < minCurveBits {
-			return fmt.Errorf("a curve of %d bits, at least %d are required", bits, minCurveBits)
+			return fmt.Errorf("elliptic curve has %d bits, at least %d are required", bits, minCurveBits)
 		}
 	case ed25519.PublicKey:
 	default:
-		return errors.New("the type of its key is unknown")
+		return errors.New("public key type is not supported")
 	}
 	if bytes.Equal(cert.RawIssuer, cert.RawSubject) {
 		return nil
 	}
 	switch cert.SignatureAlgorithm {
 	case x509.MD2WithRSA, x509.MD5WithRSA, x509.SHA1WithRSA, x509.DSAWithSHA1, x509.ECDSAWithSHA1:
-		return fmt.Errorf("it is signed with %s", cert.SignatureAlgorithm)
+		return fmt.Errorf("insecure signature algorithm %s", cert.SignatureAlgorithm)
 	}
 	return nil
 }
--- a/internal/certstore/validate/validate_test.go
+++ b/internal/certstore/validate/validate_test.go
@@ -37,7 +37,7 @@
 	return Requirements{Names: []string{testName}, Server: true, MinRSABits: 2048}
 }
 
-// Each rule has files that violate it, and valid files that are similar.
+// For each rule there are files that violate it, and similar files that are valid.
 func TestFirstViolatedRuleIsReported(t *testing.T) {
 	root := ca.New(t, "root")
 	other := ca.New(t, "other")
--- a/internal/certstore/watch.go
+++ b/internal/certstore/watch.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// pollInterval is the interval of reads without a notification, which network file systems do not send.
+	// pollInterval is the interval of reads without a notification. Network file systems send no notifications.
 	pollInterval = 30 * time.Second
-	// debounceDelay is the delay of a read after a notification, in which a script can write several files.
+	// debounceDelay is the delay from a notification to the read, in which a script can write several files.
 	debounceDelay = 50 * time.Millisecond
 )
 
@@ -48,8 +48,8 @@
 	}
 }
 
-// watchFolders watches the folders of all files. The files themselves are not watched, because a file that is renamed
-// to the name of another replaces it and its watch.
+// watchFolders watches the folders of all files. The files themselves are not watched, because a file that replaces
+// another by a rename also removes its watch.
 func (s *Store) watchFolders(watcher *fsnotify.Watcher) {
 	for _, path := range s.options.Paths.all() {
 		if path == "" {
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -119,7 +119,7 @@
 		{"negative grace", front, front + "\n" + `peers_over = "-1s"`, "keys[1].peers_over", "0s to 720h"},
 		{"negative time", front, front + "\n" + `replace_within = "-1s"`, "keys[1].replace_within", "negative"},
 		{"list without roots", front, front + "\n" + `revoked_file = "x"`, "keys[1].revoked_file", "no roots_file"},
-		{"certificate for another name", names, `names = ["10.0.0.1"]`, "keys[1].cert_file", "not for 10.0.0.1"},
+		{"certificate for another name", names, `names = ["10.0.0.1"]`, "keys[1].cert_file", "not valid for 10.0.0.1"},
 		{"name with a space", names, `names = ["a b"]`, "keys[1].names", "not a host name"},
 		{"certificate without a key", `key_file = "` + files.Key + `"`, "", "keys[1].key_file", "together"},
 		{"file without a private key", files.Key, files.Roots, "keys[1].key_file", "no private key"},
