--- a/internal/cluster/message/decode.go
+++ b/internal/cluster/message/decode.go
@@ -155,9 +155,9 @@
 	}
 	for _, vector := range in.GetVectors() {
 		out.Vectors = append(out.Vectors, replication.Vector{
-			Origin: decodeOrigin(vector.GetOrigin()),
-			Have:   vector.GetHave(),
-			More:   vector.GetMore(),
+			Origin:     decodeOrigin(vector.GetOrigin()),
+			CompleteTo: vector.GetHave(),
+			BeyondHash: vector.GetMore(),
 		})
 	}
 	return out, nil
--- a/internal/cluster/message/encode.go
+++ b/internal/cluster/message/encode.go
@@ -85,8 +85,8 @@
 	for _, vector := range vectors.Vectors {
 		out.Vectors = append(out.Vectors, &peerspb.Vector{
 			Origin: encodeOrigin(vector.Origin),
-			Have:   vector.Have,
-			More:   vector.More,
+			Have:   vector.CompleteTo,
+			More:   vector.BeyondHash,
 		})
 	}
 	return out
--- a/internal/cluster/message/golden_test.go
+++ b/internal/cluster/message/golden_test.go
@@ -50,7 +50,7 @@
 		"digest":                {sender, digest},
 		"vectors": {sender, &replication.Vectors{
 			Buckets:  []int{1, 63},
-			Vectors:  []replication.Vector{{Origin: sender, Have: 11, More: 12}, {Origin: origin, Have: 13, More: 1 << 63}},
+			Vectors:  []replication.Vector{{Origin: sender, CompleteTo: 11, BeyondHash: 12}, {Origin: origin, CompleteTo: 13, BeyondHash: 1 << 63}},
 			Response: true,
 		}},
 		"delta": {sender, replication.Delta{
--- a/internal/cluster/message/message_test.go
+++ b/internal/cluster/message/message_test.go
@@ -61,7 +61,7 @@
 		case 5:
 			payload = &replication.Vectors{
 				Buckets:  []int{1, 63},
-				Vectors:  []replication.Vector{{Origin: origin(), Have: 3, More: number.Draw(t, "more")}},
+				Vectors:  []replication.Vector{{Origin: origin(), CompleteTo: 3, BeyondHash: number.Draw(t, "more")}},
 				Response: true,
 			}
 		case 6:
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -132,7 +132,7 @@
 		message.Release{Key: key, Owner: owner},
 		message.Rumours{{Origin: sender, Entry: replication.Entry{Topic: 1, Subject: "s", Seq: 1}}},
 		replication.Digest{},
-		&replication.Vectors{Buckets: []int{1}, Vectors: []replication.Vector{{Origin: sender, Have: 3}}},
+		&replication.Vectors{Buckets: []int{1}, Vectors: []replication.Vector{{Origin: sender, CompleteTo: 3}}},
 		replication.Delta{
 			Origin:  sender,
 			To:      2,
--- a/internal/cluster/status_test.go
+++ b/internal/cluster/status_test.go
@@ -24,7 +24,7 @@
 		Counts: Counts{
 			Requests: 1, Exclusive: 2, Shared: 3, Denied: 4, NoMajority: 5, Received: 6, Malformed: 7, Sent: 8, Bytes: 9,
 		},
-		Vectors:        []replication.Vector{{Origin: origin, Have: 10, More: 11}},
+		Vectors:        []replication.Vector{{Origin: origin, CompleteTo: 10, BeyondHash: 11}},
 		Withheld:       []string{"s-1"},
 		Records:        []Record{{Origin: origin, Topic: 1, Subject: "s-1", Seq: 12, Value: []byte("v")}},
 		Servers:        []ServerTotal{{Server: "s-1", Origins: 1, Attempts: 2, Failures: 3, SlowStart: 4}},
--- a/internal/cluster/statustext.go
+++ b/internal/cluster/statustext.go
@@ -28,7 +28,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "origin\tepoch\tcomplete up to")
 	for _, vector := range s.Vectors {
-		fmt.Fprintf(table, "%s\t%d\t%d\n", vector.Origin.Name, vector.Origin.Epoch, vector.Have)
+		fmt.Fprintf(table, "%s\t%d\t%d\n", vector.Origin.Name, vector.Origin.Epoch, vector.CompleteTo)
 	}
 	fmt.Fprintln(table, "server\treported by\tattempts\tfailures\tduring slow start")
 	for _, total := range s.Servers {
--- a/internal/replication/digest.go
+++ b/internal/replication/digest.go
@@ -34,7 +34,7 @@
 // hash returns the vector's contribution to its bucket. It is mixed, so that a higher number
 // in one vector and a lower one in another do not cancel out.
 func (v Vector) hash() uint64 {
-	return splitmix.Mix(v.Origin.hash() + v.Have*goldenRatio64 + v.More)
+	return splitmix.Mix(v.Origin.hash() + v.CompleteTo*goldenRatio64 + v.BeyondHash)
 }
 
 // Digest returns the digest of the replica.
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -51,9 +51,9 @@
 // After it has removed an entry, a replica still knows the sequence number up to which it is
 // complete, and accepts no entry with a lower number.
 //
-// An origin from which no entry was received for Limits.ForgetAfter is removed with all its
+// An origin from which no entry was received for Limits.OriginTTL is removed with all its
 // entries. Its epoch is kept as a floor: later incarnations of its name must have a higher epoch.
 // The floors of at most Limits.MaxOrigins names are kept, and the oldest are discarded first. Only
-// a message that was delayed for longer than ForgetAfter, of a name whose floor was discarded, can
+// a message that was delayed for longer than OriginTTL, of a name whose floor was discarded, can
 // be accepted as new. Its entry is then valid for its topic's TTL.
 package replication
--- a/internal/replication/entry.go
+++ b/internal/replication/entry.go
@@ -57,9 +57,9 @@
 
 // Vector is the state of one origin at a replica.
 type Vector struct {
-	Origin Origin `json:"Origin"`
-	Have   uint64 `json:"Have"` // the replica is complete up to this sequence number
-	More   uint64 `json:"More"` // hash of the sequence numbers of entries beyond Have
+	Origin     Origin `json:"Origin"`
+	CompleteTo uint64 `json:"Have"` // the replica is complete up to this sequence number
+	BeyondHash uint64 `json:"More"` // hash of the sequence numbers of entries beyond CompleteTo
 }
 
 // Vectors holds the vectors of all origins in some buckets of the digest.
--- a/internal/replication/limits.go
+++ b/internal/replication/limits.go
@@ -28,7 +28,7 @@
 	MaxSubjectBytes      int           // length of a subject and of an instance's name, in bytes
 	MaxValueBytes        int           // length of a value, in bytes
 	MaxMessageBytes      int           // approximate size of the entries in one message, in bytes
-	ForgetAfter          time.Duration // how long an origin is kept without a new entry
+	OriginTTL            time.Duration // how long an origin is kept without a new entry
 	Transmissions        int           // number of times that each replica forwards a new entry
 	MaxQueuedRumours     int           // entries to be forwarded
 	MaxDeltasPerResponse int           // deltas sent in response to one Vectors message
@@ -41,7 +41,7 @@
 	MaxSubjectBytes:      128,
 	MaxValueBytes:        256,
 	MaxMessageBytes:      1100,
-	ForgetAfter:          time.Hour,
+	OriginTTL:            time.Hour,
 	Transmissions:        2,
 	MaxQueuedRumours:     4096,
 	MaxDeltasPerResponse: 16,
--- a/internal/replication/originstate.go
+++ b/internal/replication/originstate.go
@@ -68,10 +68,10 @@
 
 // vector returns the vector of the origin.
 func (o *originState) vector() Vector {
-	vector := Vector{Origin: o.id, Have: o.completeTo}
+	vector := Vector{Origin: o.id, CompleteTo: o.completeTo}
 	for _, r := range o.registers {
 		if r.seq > o.completeTo {
-			vector.More += splitmix.Mix(r.seq)
+			vector.BeyondHash += splitmix.Mix(r.seq)
 		}
 	}
 	return vector
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -71,10 +71,10 @@
 // number for this incarnation than this store has assigned. Another instance has then distributed
 // entries in its name, and replicas that have them would ignore entries with lower numbers.
 func (s *Store) renumberAbove(now time.Duration, remote Vector) {
-	if remote.Origin != s.self || remote.Have <= s.seq || remote.Have-s.seq > maxSeqGap {
+	if remote.Origin != s.self || remote.CompleteTo <= s.seq || remote.CompleteTo-s.seq > maxSeqGap {
 		return
 	}
-	s.seq = remote.Have
+	s.seq = remote.CompleteTo
 	local := s.origins[s.self]
 	keys := make([]registerKey, 0, len(local.registers))
 	for key := range local.registers {
@@ -153,12 +153,12 @@
 	return true
 }
 
-// Expire removes expired entries, and origins without a new entry for Limits.ForgetAfter. It must be
+// Expire removes expired entries, and origins without a new entry for Limits.OriginTTL. It must be
 // called about once per second.
 func (s *Store) Expire(now time.Duration) {
 	for id, state := range s.origins {
 		state.removeExpired(now, s.rules)
-		if id != s.self && now-state.updatedAt >= s.limits.ForgetAfter {
+		if id != s.self && now-state.updatedAt >= s.limits.OriginTTL {
 			delete(s.origins, id)
 			s.floors.raise(id, now)
 		}
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -39,7 +39,7 @@
 // delivered again or a replica returns that was disconnected for an hour.
 func TestWithdrawnEntryStaysWithdrawn(t *testing.T) {
 	limits := DefaultLimits
-	limits.ForgetAfter = 30 * time.Minute
+	limits.OriginTTL = 30 * time.Minute
 	writer := NewStore(testOrigin(1), testRules, limits)
 	replica := NewStore(testOrigin(2), testRules, limits)
 	disconnected := NewStore(testOrigin(3), testRules, limits)
--- a/internal/replication/vectors.go
+++ b/internal/replication/vectors.go
@@ -71,7 +71,7 @@
 	if state == nil {
 		return s.admit(remote.Origin)
 	}
-	return state.completeTo < remote.Have || state.vector().More != remote.More
+	return state.completeTo < remote.CompleteTo || state.vector().BeyondHash != remote.BeyondHash
 }
 
 // missingDeltas returns the deltas of origins in some buckets that another replica is missing, by
@@ -92,7 +92,7 @@
 	slices.SortFunc(ahead, func(a, b *originState) int { return a.id.compare(b.id) })
 	var deltas []Delta
 	for _, state := range ahead {
-		next := s.deltas(now, state, remote[state.id].Have)
+		next := s.deltas(now, state, remote[state.id].CompleteTo)
 		if len(deltas) > 0 && len(deltas)+len(next) > s.limits.MaxDeltasPerResponse {
 			break
 		}
@@ -104,7 +104,7 @@
 // ahead reports whether another replica is missing entries of the origin, by its vector.
 func (o *originState) ahead(remote Vector) bool {
 	local := o.vector()
-	return remote.Have < local.Have || local.More != 0 && local.More != remote.More
+	return remote.CompleteTo < local.CompleteTo || local.BeyondHash != 0 && local.BeyondHash != remote.BeyondHash
 }
 
 // validBuckets returns the buckets that exist, each once, in order of appearance.
