--- a/internal/cluster/message/golden_test.go
+++ b/internal/cluster/message/golden_test.go
@@ -49,8 +49,11 @@
 		"rumours":               {sender, Rumours{{Origin: sender, Entry: live}, {Origin: origin, Entry: withdrawn}}},
 		"digest":                {sender, digest},
 		"vectors": {sender, &replication.Vectors{
-			Buckets:  []int{1, 63},
-			Vectors:  []replication.Vector{{Origin: sender, CompleteTo: 11, BeyondHash: 12}, {Origin: origin, CompleteTo: 13, BeyondHash: 1 << 63}},
+			Buckets: []int{1, 63},
+			Vectors: []replication.Vector{
+				{Origin: sender, CompleteTo: 11, BeyondHash: 12},
+				{Origin: origin, CompleteTo: 13, BeyondHash: 1 << 63},
+			},
 			Response: true,
 		}},
 		"delta": {sender, replication.Delta{
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -32,15 +32,15 @@
 //	----------------------------------  -------------------------------------------------------
 //	sequence numbers differ             the higher number, regardless of the order of arrival
 //	same sequence number                they are the same entry; the greater age is kept
-//	one is withdrawn                    as above: a withdrawal has a sequence number, too
-//	epochs of the origin differ         both are kept, as of two instances, until they expire by
+//	one is withdrawn                    the higher number: a withdrawal has a sequence number, too
+//	epochs of the origin differ         both are kept, like those of two instances, until they expire by
 //	(restart, copied data directory,    age
 //	paused process that continues)
 //	ages differ since clocks differ     no message has an absolute time: each replica adds its own
 //	                                    elapsed time to the age that it received
-//	the origin was forgotten            it remains forgotten: epochs of its name up to the forgotten
+//	the origin was evicted              it is not added again: epochs of its name up to the evicted
 //	                                    one are rejected
-//	the entry is of the receiver        unchanged: no other instance writes for this incarnation
+//	the receiver is the origin          unchanged: no other instance writes for this incarnation
 //	the entry is invalid (unknown       the entry is ignored, and counted as rejected
 //	topic, too long, check fails)
 //
@@ -51,7 +51,7 @@
 // After it has removed an entry, a replica still knows the sequence number up to which it is
 // complete, and accepts no entry with a lower number.
 //
-// An origin from which no entry was received for Limits.OriginTTL is removed with all its
+// An origin from which no entry was received for Limits.OriginTTL is evicted with all its
 // entries. Its epoch is kept as a floor: later incarnations of its name must have a higher epoch.
 // The floors of at most Limits.MaxOrigins names are kept, and the oldest are discarded first. Only
 // a message that was delayed for longer than OriginTTL, of a name whose floor was discarded, can
--- a/internal/replication/floors.go
+++ b/internal/replication/floors.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// epochFloor is the highest epoch of a name that was forgotten.
+// epochFloor is the highest epoch of the evicted origins of a name.
 type epochFloor struct {
-	epoch       uint64
-	forgottenAt time.Duration
+	epoch     uint64
+	evictedAt time.Duration
 }
 
-// epochFloors prevents forgotten incarnations from being accepted again. It maps names to floors.
+// epochFloors prevents evicted incarnations from being accepted again. It maps names to floors.
 type epochFloors map[string]epochFloor
 
-// admit reports whether an origin is later than all forgotten origins of its name.
+// admit reports whether an origin is later than all evicted origins of its name.
 func (f epochFloors) admit(id Origin) bool {
 	floor, found := f[id.Name]
 	return !found || id.Epoch > floor.epoch
 }
 
-// raise records that an origin was forgotten.
+// raise records that an origin was evicted.
 func (f epochFloors) raise(id Origin, now time.Duration) {
 	if id.Epoch >= f[id.Name].epoch {
-		f[id.Name] = epochFloor{epoch: id.Epoch, forgottenAt: now}
+		f[id.Name] = epochFloor{epoch: id.Epoch, evictedAt: now}
 	}
 }
 
@@ -29,7 +29,7 @@
 	for len(f) > maxNames {
 		oldest := ""
 		for name, floor := range f {
-			if oldest == "" || floor.forgottenAt < f[oldest].forgottenAt {
+			if oldest == "" || floor.evictedAt < f[oldest].evictedAt {
 				oldest = name
 			}
 		}
--- a/internal/replication/limits.go
+++ b/internal/replication/limits.go
@@ -11,19 +11,19 @@
 	ErrUnknownTopic   = errors.New("replication: unknown topic")
 	ErrInvalidSubject = errors.New("replication: subject is empty or too long")
 	ErrValueTooLong   = errors.New("replication: value is too long")
-	ErrSubjectLimit   = errors.New("replication: limit of subjects reached")
+	ErrSubjectLimit   = errors.New("replication: subject limit reached")
 )
 
 // Rule describes the entries of a topic.
 type Rule struct {
 	TTL     time.Duration            // how long an entry is valid after it was written
-	Indexed bool                     // View does not scan other topics, for topics with few entries and frequent views
+	Indexed bool                     // View does not scan other topics; for topics with few entries and frequent views
 	Check   func(value []byte) error // validates a value
 }
 
 // Limits bound the memory of a store for any messages that it receives, and the size of messages.
 type Limits struct {
-	MaxOrigins           int           // known origins, and as many names of forgotten ones
+	MaxOrigins           int           // known origins; also the number of floors that are kept
 	MaxEntries           int           // entries of one origin
 	MaxSubjectBytes      int           // length of a subject and of an instance's name, in bytes
 	MaxValueBytes        int           // length of a value, in bytes
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -40,7 +40,7 @@
 	}
 	local := s.origins[s.self]
 	if local.registers[key] == nil && len(local.registers) >= s.limits.MaxEntries {
-		return fmt.Errorf("%w: %d", ErrSubjectLimit, len(local.registers))
+		return fmt.Errorf("%w: %d subjects", ErrSubjectLimit, len(local.registers))
 	}
 	s.write(now, key, &register{value: value})
 	return nil
@@ -153,8 +153,8 @@
 	return true
 }
 
-// Expire removes expired entries, and origins without a new entry for Limits.OriginTTL. It must be
-// called about once per second.
+// Expire removes expired entries, and evicts origins without a new entry for Limits.OriginTTL. It must
+// be called about once per second.
 func (s *Store) Expire(now time.Duration) {
 	for id, state := range s.origins {
 		state.removeExpired(now, s.rules)
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -50,7 +50,7 @@
 	writer.Withdraw(time.Second, checkedTopic, "s")
 	runAntiEntropy(time.Second, writer, replica, loseNothing)
 	if view := replica.View(time.Second, checkedTopic); len(view) != 0 {
-		t.Fatalf("withdrawn, but visible: %v", view)
+		t.Fatalf("withdrawn entry is still in the view: %v", view)
 	}
 	replay := func(now time.Duration, condition string) {
 		t.Helper()
@@ -74,7 +74,7 @@
 	if replica.Origins() != 1 {
 		t.Fatalf("%d origins are known after an hour, want 1", replica.Origins())
 	}
-	replay(time.Hour, "after the origin was forgotten")
+	replay(time.Hour, "after the origin was evicted")
 	restarted := NewStore(Origin{Name: "i-1", Epoch: 2000}, testRules, limits)
 	mustPut(t, restarted, time.Hour, checkedTopic, "s", "2")
 	runAntiEntropy(time.Hour, restarted, replica, loseNothing)
@@ -120,7 +120,7 @@
 	runAntiEntropy(0, writer, replica, loseNothing)
 	runAntiEntropy(0, writer, replica, loseNothing)
 	if view := replica.View(0, checkedTopic); len(view) != 1 || string(view[0].Value) != "true" {
-		t.Errorf("the replica has %v", view)
+		t.Errorf("the replica has %v, want the writer's value", view)
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	for n := range 2000 {
@@ -131,15 +131,16 @@
 	}
 	for id, state := range replica.origins {
 		if len(state.registers) > limits.MaxEntries {
-			t.Errorf("%d entries of %v", len(state.registers), id)
+			t.Errorf("%d entries of %v exceed the limit", len(state.registers), id)
 		}
 	}
 	queued := len(replica.rumours.queued)
 	if replica.Origins() > limits.MaxOrigins || queued > limits.MaxQueuedRumours || replica.RejectedCount() == 0 {
-		t.Errorf("%d origins, %d rumours, %d rejected", replica.Origins(), queued, replica.RejectedCount())
+		t.Errorf("%d origins, %d queued rumours, %d rejected, want the first two within the limits and rejections",
+			replica.Origins(), queued, replica.RejectedCount())
 	}
 	if view := writer.View(0, checkedTopic); len(view) != 1 || string(view[0].Value) != "true" {
-		t.Errorf("the writer has %v", view)
+		t.Errorf("the writer has %v, want its own value", view)
 	}
 }
 
