--- a/internal/membership/ephemeral/client.go
+++ b/internal/membership/ephemeral/client.go
@@ -1,8 +1,8 @@
 // Package ephemeral reads membership from the ephemeral nodes of a coordination service that
-// speaks ZooKeeper's protocol. One directory has one node for each endpoint.
+// uses the ZooKeeper protocol. One directory has one node for each endpoint.
 //
-// [Client.Feed] opens a session, reads the directory and all nodes, and then reads what its
-// watches report. The calls that read also set the watches, so that no change is missed in
+// [Client.Feed] opens a session, reads the directory and all nodes, and then reads again what its
+// watches report as changed. The calls that read also set the watches, so that no change is missed in
 // between. Each connection has its own session and reads everything again. No state survives a
 // restart. The goroutine that called Feed owns all state except for the event queue, which the
 // client library fills from its own goroutine.
@@ -108,7 +108,7 @@
 }
 
 // errConnectionEnded is returned to the library when it dials again after its first connection.
-var errConnectionEnded = errors.New("the connection has ended")
+var errConnectionEnded = errors.New("connection ended: each session uses a single connection")
 
 // dialOnce returns a dialer that connects only once. Otherwise the library would reconnect by
 // itself, resume its session and restore its watches. A reader does not need that: it has no
--- a/internal/membership/ephemeral/client_test.go
+++ b/internal/membership/ephemeral/client_test.go
@@ -18,7 +18,7 @@
 	h.waitNames("a b")
 	h.put("c", nodeData(1, ""))
 	h.waitNames("a b c")
-	h.drop("a")
+	h.remove("a")
 	h.waitNames("b c")
 	h.put("b", nodeData(2, `,"draining":true,"started_ms":5000`))
 	h.waitUntil("the new data", func() bool { return h.recorder.node("b").StartedMS == 5000 })
@@ -30,7 +30,7 @@
 	}
 	// Each read sets the watch again.
 	for range 20 {
-		h.drop("c")
+		h.remove("c")
 		h.waitNames("b")
 		h.put("c", nodeData(1, ""))
 		h.waitNames("b c")
@@ -55,7 +55,7 @@
 	h.waitNames("b d")
 	for i := range 10 { // other changes do not cause invalid data to be read or logged again
 		h.put("b", nodeData(100+i, ""))
-		h.drop("d")
+		h.remove("d")
 		h.waitNames("b")
 		h.put("d", nodeData(4, ""))
 		h.waitNames("b d")
@@ -77,14 +77,14 @@
 		added := fmt.Sprint("n", i)
 		h.breakConnections()
 		h.put(added, nodeData(1, ""))
-		h.drop("b")
+		h.remove("b")
 		h.waitUntil("the new list", func() bool {
 			names := h.recorder.names()
 			return strings.Contains(names, added) && !strings.Contains(names, "b")
 		})
 		h.put("b", nodeData(2, ""))
 		h.waitUntil("the watch", func() bool { return strings.Contains(h.recorder.names(), "b") })
-		h.drop(added)
+		h.remove(added)
 		h.waitNames("a b")
 	}
 	if h.recorder.outageCount() < 3 {
@@ -99,7 +99,7 @@
 	h.waitNames("a b")
 	for range 2 {
 		snapshots := h.recorder.snapshotCount()
-		h.drop("b")
+		h.remove("b")
 		h.service.ExpireSession(h.service.Sessions()[0])
 		h.waitSnapshotAfter(snapshots)
 		h.waitNames("a")
@@ -115,10 +115,10 @@
 	h.waitNames("a b")
 	h.service.SetUnresponsive(true)
 	h.waitUntil("the outage", func() bool { return h.recorder.outageCount() == 1 })
-	h.drop("a")
+	h.remove("a")
 	h.put("c", nodeData(1, ""))
 	if got := h.recorder.names(); got != "a b" {
-		t.Errorf("listed in the outage: %q", got)
+		t.Errorf("listed in the outage: %q, want the list before it", got)
 	}
 	h.service.SetUnresponsive(false)
 	h.waitNames("b c")
@@ -131,7 +131,7 @@
 	h.put("b", nodeData(1, ""))
 	h.waitNames("a b")
 	if n := h.recorder.outageCount(); n != 0 {
-		t.Errorf("%d outages of a slow service", n)
+		t.Errorf("%d outages of a slow service, want 0", n)
 	}
 }
 
@@ -156,7 +156,7 @@
 		h.waitSnapshotAfter(snapshots)
 		h.put("c", nodeData(1, ""))
 		h.waitNames("a b c")
-		h.drop("c")
+		h.remove("c")
 		h.waitNames("a b")
 	}
 }
@@ -168,7 +168,7 @@
 	h.service.Member(0).SetStaleView(true, "/soko/a", "/soko/b")
 	h.service.Member(1).SetStaleView(true, "/soko/c")
 	seen := map[string]bool{}
-	for range 64 { // each connection is to a random member: 8 were too few once in 128 runs
+	for range 64 { // each connection is to a random member: with 8 connections, 1 run in 128 saw one list only
 		snapshots := h.recorder.snapshotCount()
 		h.breakConnections()
 		h.waitSnapshotAfter(snapshots)
@@ -182,7 +182,7 @@
 	}
 }
 
-// A digest is sent on each connection if one is set.
+// The digest is sent on each connection. If it is wrong, the node cannot be read.
 func TestDigestIsSentOnEachConnection(t *testing.T) {
 	service := startService(t, 1)
 	service.Put("/soko/a", nodeData(1, ""))
@@ -220,7 +220,7 @@
 	reads := h.service.RequestCount(fakezookeeper.OpGetData)
 	burstStart := time.Now()
 	for range 100 {
-		h.drop("n0000")
+		h.remove("n0000")
 		time.Sleep(5 * time.Millisecond)
 		h.put("n0000", nodeData(1, ""))
 		time.Sleep(5 * time.Millisecond)
@@ -231,6 +231,6 @@
 		t.Errorf("the directory was read %d times, want at most %d", n, limit)
 	}
 	if n := h.service.RequestCount(fakezookeeper.OpGetData) - reads; n > 220 {
-		t.Errorf("%d nodes were read for 200 changes of one", n)
+		t.Errorf("%d nodes were read for 200 changes of one node, want at most 220", n)
 	}
 }
--- a/internal/membership/ephemeral/data.go
+++ b/internal/membership/ephemeral/data.go
@@ -52,15 +52,15 @@
 	Draining  bool    `json:"draining,omitempty"`   // the endpoint takes no new requests
 }
 
-// Parse decodes and validates a node's data, in pinedale's native form or Curator's. The texts of
-// its errors have a single line. An invalid value is a *DataError.
+// Parse decodes and validates a node's data, in pinedale's native form or Curator's. Error messages
+// are a single line. An invalid value is a *DataError.
 func Parse(node string, data []byte, rules Rules) (engine.Host, error) {
 	if len(node) == 0 || len(node) > maxNameBytes {
 		return engine.Host{},
 			fmt.Errorf("the node's name has %d characters, must be 1 to %d", len(node), maxNameBytes)
 	}
 	if len(data) > maxDataBytes {
-		return engine.Host{}, fmt.Errorf("%d bytes, at most %d", len(data), maxDataBytes)
+		return engine.Host{}, fmt.Errorf("node data has %d bytes, must be at most %d", len(data), maxDataBytes)
 	}
 	decoded, err := decode(data)
 	if err != nil {
--- a/internal/membership/ephemeral/data_test.go
+++ b/internal/membership/ephemeral/data_test.go
@@ -15,7 +15,7 @@
 		Name: "s-1", Address: "10.0.0.7:9101", Site: "dar", Kind: "box", Cell: 7, Weight: 2.5, StartedMS: 1700000000000,
 	}
 	if host, err := Parse("s-1", []byte(data), rules); err != nil || host != want {
-		t.Errorf("%+v, %v, want %+v", host, err, want)
+		t.Errorf("Parse returned %+v, %v, want %+v", host, err, want)
 	}
 }
 
@@ -27,7 +27,7 @@
 		Name: "7", Address: "10.0.0.8:9102", Site: "arusha", Cell: 3, Weight: 1, State: balancer.Draining,
 	}
 	if host, err := Parse("7", []byte(data), rules); err != nil || host != want {
-		t.Errorf("%+v, %v, want %+v", host, err, want)
+		t.Errorf("Parse returned %+v, %v, want %+v", host, err, want)
 	}
 }
 
@@ -59,7 +59,7 @@
 	} {
 		_, err := Parse("n", []byte(c.data), rules)
 		if err == nil || !strings.Contains(err.Error(), c.message) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.60s: %v, want one line with %q", c.data, err, c.message)
+			t.Errorf("%.60s: error %v, want one line with %q", c.data, err, c.message)
 		}
 	}
 }
@@ -73,12 +73,12 @@
 		host, err := Parse(name, data, rules)
 		if err != nil {
 			if err.Error() == "" || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %q", err)
+				t.Errorf("error %q, want a single line that is not empty", err)
 			}
 			return
 		}
 		if host.Name == "" || host.Address == "" || !(host.Weight > 0) || host.StartedMS < 0 || !json.Valid(data) {
-			t.Errorf("%q gives %+v", data, host)
+			t.Errorf("%q is parsed as the invalid endpoint %+v", data, host)
 		}
 	})
 }
--- a/internal/membership/ephemeral/golden_test.go
+++ b/internal/membership/ephemeral/golden_test.go
@@ -100,7 +100,7 @@
 	return content
 }
 
-// Node data in all forms is read to the values that the code at the time of the golden file read.
+// Parse returns the endpoint or the error of the golden file for node data in all forms.
 func TestParseReadsGoldenNodeData(t *testing.T) {
 	current := make([]parseCase, len(parseInputs))
 	for i, input := range parseInputs {
--- a/internal/membership/ephemeral/harness_test.go
+++ b/internal/membership/ephemeral/harness_test.go
@@ -23,7 +23,7 @@
 // thirds of the timeout.
 const sessionTimeout = 600 * time.Millisecond
 
-// rules are those of the test's node data.
+// rules permit the sites and kinds in the tests' node data.
 var rules = Rules{Sites: []string{"arusha", "dar"}, Kinds: []string{"box"}}
 
 // recorder is a sink that applies reports to one list.
@@ -132,7 +132,7 @@
 	}
 }
 
-// nodeData returns node data with a port and further keys, as text that begins with a comma.
+// nodeData returns node data with a port and further keys, which are JSON text that begins with a comma.
 func nodeData(port int, keys string) []byte {
 	return fmt.Appendf(nil, `{"address":"127.0.0.1:%d","site":"arusha"%s}`, port, keys)
 }
@@ -173,7 +173,7 @@
 
 func (h *harness) put(node string, data []byte) { h.service.Put("/soko/"+node, data) }
 
-func (h *harness) drop(node string) { h.service.Delete("/soko/" + node) }
+func (h *harness) remove(node string) { h.service.Delete("/soko/" + node) }
 
 // breakConnections breaks the connections of a service of two members.
 func (h *harness) breakConnections() {
--- a/internal/membership/multisource/source.go
+++ b/internal/membership/multisource/source.go
@@ -22,11 +22,11 @@
 	// reportBacklog is how many reports may be queued before feeders block.
 	reportBacklog = 64
 
-	// minTimer is the shortest time between two deadlines of the reconciler.
-	minTimer = time.Millisecond
+	// minTimerDelay is the minimum delay of the timer, even if the deadline has passed.
+	minTimerDelay = time.Millisecond
 
-	// initialTimer is arbitrary: the first report sets the timer.
-	initialTimer = time.Hour
+	// initialTimerDelay is arbitrary: the first report sets the timer.
+	initialTimerDelay = time.Hour
 )
 
 // Feeder reads one source.
@@ -93,7 +93,7 @@
 
 // run applies reports and publishes lists until ctx ends.
 func (w *watch) run(ctx context.Context) {
-	timer := time.NewTimer(initialTimer)
+	timer := time.NewTimer(initialTimerDelay)
 	defer timer.Stop()
 	for {
 		select {
@@ -107,7 +107,7 @@
 		w.publish()
 		timer.Stop()
 		if deadline := w.reconciler.NextDeadline(); deadline != 0 {
-			timer.Reset(max(minTimer, deadline-w.now()))
+			timer.Reset(max(minTimerDelay, deadline-w.now()))
 		}
 	}
 }
--- a/internal/membership/multisource/source_test.go
+++ b/internal/membership/multisource/source_test.go
@@ -142,8 +142,8 @@
 	h.service.Put("/soko/"+name, data)
 }
 
-// dropNodes removes all nodes of the service.
-func (h *harness) dropNodes() {
+// removeNodes removes all nodes of the service.
+func (h *harness) removeNodes() {
 	for _, node := range h.service.Children("/soko") {
 		h.service.Delete("/soko/" + node)
 	}
@@ -173,12 +173,12 @@
 		"in an outage": func(h *harness) {
 			h.service.SetUnresponsive(true)
 			h.waitUntil("the outage", func() bool { return h.logged(ephemeralUnavailable) })
-			h.dropNodes()
+			h.removeNodes()
 			h.service.SetUnresponsive(false)
 		},
 		"with a broken connection": func(h *harness) {
 			h.service.SetRejecting(true)
-			h.dropNodes()
+			h.removeNodes()
 			h.service.SetRejecting(false)
 		},
 	} {
@@ -194,7 +194,7 @@
 			h.put("d")
 			h.waitReady("a b c d")
 			if h.minReady < 3 {
-				t.Errorf("only %d were ready at one time", h.minReady)
+				t.Errorf("only %d endpoints were ready at one time, want at least 3", h.minReady)
 			}
 		})
 	}
@@ -236,7 +236,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if host := h.hosts["s"]; host.StartedMS != 5000 {
-		t.Errorf("back as %+v, want the same incarnation", host)
+		t.Errorf("the endpoint returned as %+v, want the same incarnation", host)
 	}
 }
 
@@ -313,7 +313,7 @@
 		h.service.Delete(fmt.Sprint("/soko/n", i%30))
 	}
 	h.put("last")
-	h.waitUntil("the last", func() bool { return strings.Contains(h.ready(), "last") })
+	h.waitUntil("the last node", func() bool { return strings.Contains(h.ready(), "last") })
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	const minListInterval = 20 * time.Millisecond // of package reconcile
--- a/internal/membership/reconcile/config.go
+++ b/internal/membership/reconcile/config.go
@@ -37,21 +37,21 @@
 var DefaultConfig = Config{
 	MaxShrinkRatio:  0.34,             // a third of a fleet
 	HoldTime:        30 * time.Second, // twice the usual session timeout of 15 s
-	MaxDiscoveryLag: 15 * time.Second, // discovery's usual 5 s, and time for it to catch up
+	MaxDiscoveryLag: 15 * time.Second, // discovery's usual lag of 5 s, and time for it to catch up
 }
 
 const (
 	// minEvictable is how many endpoints may be missing regardless of MaxShrinkRatio, so that one
-	// of a fleet of two may be.
+	// endpoint of a fleet of two may be missing.
 	minEvictable = 1
 
 	// removalLinger is how long a vanished endpoint is listed as draining. If it returns in the
 	// same incarnation within that time, it keeps its history and needs no slow start.
 	removalLinger = time.Minute
 
-	// flapThreshold is the number of returns within flapWindow from which on an endpoint must
-	// stay up for a backoff before it counts as up: flapBackoff, doubled by each further return
-	// up to maxFlapBackoff.
+	// An endpoint that returns flapThreshold times, each time within flapWindow of the previous
+	// return, counts as up only after it has stayed up for a backoff: flapBackoff, doubled by each
+	// further return up to maxFlapBackoff.
 	flapThreshold  = 3
 	flapWindow     = 10 * time.Second
 	flapBackoff    = time.Second
--- a/internal/membership/reconcile/decide.go
+++ b/internal/membership/reconcile/decide.go
@@ -20,9 +20,9 @@
 	now       time.Duration
 	recheckAt time.Duration // when the decision may change without a report, 0 for never
 
-	present       []*claim // claims that the endpoint is up
-	described     *claim   // of present, the claim whose address and other values count; may be nil
-	describedKind Kind     // kind of the source of described
+	present     []*claim // claims that the endpoint is up
+	primary     *claim   // the claim in present whose address and other values are listed; may be nil
+	primaryKind Kind     // kind of the source of primary
 
 	end     *claim // latest claim that the endpoint takes no requests; may be nil
 	endKind Kind   // kind of the source of end
@@ -35,18 +35,18 @@
 	}
 }
 
-// addPresent adds a claim that the endpoint is up. The claim with the newest start time describes
-// the endpoint; of several with the same start time, the one of the lowest kind of source.
+// addPresent adds a claim that the endpoint is up. The primary claim is the one with the newest start
+// time; of several with the same start time, the one of the lowest kind of source.
 func (v *endpointView) addPresent(kind Kind, endpointClaim *claim) {
 	v.present = append(v.present, endpointClaim)
-	if v.described != nil {
-		started, newest := endpointClaim.host.StartedMS, v.described.host.StartedMS
-		if started < newest || started == newest && kind >= v.describedKind {
+	if v.primary != nil {
+		started, newest := endpointClaim.host.StartedMS, v.primary.host.StartedMS
+		if started < newest || started == newest && kind >= v.primaryKind {
 			return
 		}
 	}
-	v.described = endpointClaim
-	v.describedKind = kind
+	v.primary = endpointClaim
+	v.primaryKind = kind
 }
 
 // addEnd adds a claim that the endpoint takes no requests: it drains, it has vanished, or it
@@ -87,8 +87,8 @@
 	view := r.view(now, name)
 	var host engine.Host
 	switch {
-	case view.described != nil:
-		host = view.described.host
+	case view.primary != nil:
+		host = view.primary.host
 	case view.end != nil:
 		host = view.end.host
 	default:
@@ -99,7 +99,7 @@
 		return decision{host: host, listed: true, recheckAt: view.recheckAt}
 	}
 	host.State = balancer.Draining
-	if view.end.state == stateVanished && view.described == nil {
+	if view.end.state == stateVanished && view.primary == nil {
 		removedAt := view.end.since + removalLinger
 		if now >= removedAt {
 			return decision{host: host}
@@ -113,7 +113,7 @@
 // endpoint's node vanished without a drain, and discovery listed the endpoint in a report after
 // MaxDiscoveryLag: the session has expired, but the process runs.
 func (r *Reconciler) discoveryConfirms(view *endpointView, name string) bool {
-	if view.described == nil || view.endKind != Ephemeral || view.end.state != stateVanished || view.end.wasDraining {
+	if view.primary == nil || view.endKind != Ephemeral || view.end.state != stateVanished || view.end.wasDraining {
 		return false
 	}
 	requiredAt := view.end.since + r.cfg.MaxDiscoveryLag
--- a/internal/membership/reconcile/doc.go
+++ b/internal/membership/reconcile/doc.go
@@ -24,8 +24,8 @@
 //	  still lists it MaxDiscoveryLag later                but the process runs
 //	discovery lists a server as draining or removed,    an end: the node of a dead process  decide
 //	  and its node exists                                 remains until its session expires
-//	a static list has it, and its node vanished         an end: a static list does not      discoveryConfirms
-//	                                                      know about restarts
+//	a static list contains the endpoint, and its node   an end: a static list does not      discoveryConfirms
+//	  vanished                                            know about restarts
 //	the same name with a newer start time               a new incarnation; claims on the    claim.supersedes
 //	                                                      previous one do not count
 //	the same name returns in the same incarnation       ready, with its history             claim.update
@@ -34,10 +34,10 @@
 //	removalLinger after an end without an up claim      removed, and its state deleted      decide
 //	a source is unavailable                             its last list remains valid; the    SourceUnavailable
 //	                                                      claims of others count
-//	a source recovers or reports an older list, and     the missing ones are retained       Snapshot
+//	a source recovers or reports an older list, and     the missing endpoints are retained  Snapshot
 //	  more than MaxShrinkRatio is missing; or its
 //	  list is empty
-//	retained, and listed again                          up, as before                       claim.update
+//	a retained endpoint is listed again                 up, as before                       claim.update
 //	retained for HoldTime, and the source is available  evicted, MaxShrinkRatio at a time,  evictDue
 //	  with a list that is not empty                       once per HoldTime
 //	retained, and the list remains empty                retained                            nextEviction
--- a/internal/membership/reconcile/harness_test.go
+++ b/internal/membership/reconcile/harness_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// advance lets time pass and reads the list at each deadline.
+// advance advances the time and reads the list at each deadline.
 func (h *harness) advance(duration time.Duration) {
 	h.now = advanceTo(h.reconciler, h.now, h.now+duration, func(now time.Duration) {
 		h.now = now
@@ -130,7 +130,7 @@
 	h.t.Helper()
 	h.advance(minListInterval)
 	if got := readyNames(h.hosts); got != names {
-		h.t.Errorf("%s: ready are %q, want %q", situation, got, names)
+		h.t.Errorf("%s: ready endpoints %q, want %q", situation, got, names)
 	}
 }
 
--- a/internal/membership/reconcile/random_test.go
+++ b/internal/membership/reconcile/random_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// advance lets time pass and reads the list at each deadline.
+// advance advances the time and reads the list at each deadline.
 func (h *randomHistory) advance(duration time.Duration) {
 	h.now = advanceTo(h.reconciler, h.now, h.now+duration, func(now time.Duration) {
 		h.now = now
@@ -136,7 +136,7 @@
 	h.read()
 	readyAfter := countReady(h.hosts)
 	if h.kinds[source] != Static && len(snapshot.hosts) == 0 && readyAfter < readyBefore {
-		h.t.Fatalf("an empty list took %d of %d out", readyBefore-readyAfter, readyBefore)
+		h.t.Fatalf("an empty list made %d of %d ready endpoints unready", readyBefore-readyAfter, readyBefore)
 	}
 }
 
@@ -183,12 +183,11 @@
 	h.apply(report{at: h.now, source: source, kind: reportUnavailable})
 	h.read()
 	if readyAfter := countReady(h.hosts); readyAfter < readyBefore {
-		h.t.Fatalf("an outage took %d out", readyBefore-readyAfter)
+		h.t.Fatalf("the outage of a source made %d endpoints unready", readyBefore-readyAfter)
 	}
 }
 
-// checkReady checks that each endpoint is ready that has an up claim, no end, and no claim that
-// flapped.
+// checkReady checks that each endpoint with an up claim, no end and no claim that flapped is ready.
 func (h *randomHistory) checkReady() {
 	for _, name := range randomNames {
 		up, ended := false, false
@@ -201,7 +200,7 @@
 			ended = ended || c.state == stateVanished || c.state == stateDraining || c.returns >= flapThreshold
 		}
 		if host, ok := h.hosts[name]; up && !ended && (!ok || host.State != balancer.Ready) {
-			h.t.Fatalf("%s is up by each claim, and listed as %v (%v)", name, host, ok)
+			h.t.Fatalf("%s is up by each claim, but listed as %v (listed: %v)", name, host, ok)
 		}
 	}
 }
@@ -212,14 +211,14 @@
 		want := h.reference.decide(h.now, name)
 		got, listed := h.hosts[name]
 		if want.listed != listed || listed && got != want.host {
-			h.t.Fatalf("at %v %s is listed as %v (%v), by the reference %v (%v)",
+			h.t.Fatalf("at %v, %s is listed as %v (listed: %v), by the reference as %v (listed: %v)",
 				h.now, name, got, listed, want.host, want.listed)
 		}
 	}
 }
 
-// For random reports at random times, the list agrees with the reference and follows the rules
-// that the checks name.
+// For random reports at random times, the list agrees with the reference, and all checks of
+// randomHistory pass.
 func TestRandomReportsAgreeWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newRandomHistory(t)
--- a/internal/membership/reconcile/reconciler.go
+++ b/internal/membership/reconcile/reconciler.go
@@ -98,7 +98,7 @@
 	source := r.sources[index]
 	if source.available || !source.interrupted {
 		source.log.Warn(
-			"membership source unavailable, its last list stands",
+			"membership source unavailable, last list remains in use",
 			"reason", reason,
 			"endpoints", len(source.claims),
 		)
@@ -138,7 +138,7 @@
 	backoff := min(flapBackoff<<min(endpointClaim.returns-flapThreshold, maxFlapDoublings), maxFlapBackoff)
 	endpointClaim.upFrom = now + backoff
 	if endpointClaim.returns == flapThreshold {
-		source.log.Warn("endpoint flapping, taken out until it stays up", "endpoint", host.Name, "backoff", backoff)
+		source.log.Warn("endpoint flapping, counted as up only after backoff", "endpoint", host.Name, "backoff", backoff)
 	}
 }
 
--- a/internal/membership/reconcile/reconciler_test.go
+++ b/internal/membership/reconcile/reconciler_test.go
@@ -17,7 +17,7 @@
 	h.delta(0, 2, change("a", balancer.Removed))
 	h.wantReady("vanished", "b")
 	if h.hosts["a"].State != balancer.Draining {
-		t.Errorf("it is listed as %v, want draining", h.hosts["a"].State)
+		t.Errorf("the vanished endpoint is listed as %v, want draining", h.hosts["a"].State)
 	}
 	h.delta(0, 3, change("a", balancer.Ready))
 	h.wantReady("returned", "a b")
@@ -26,7 +26,7 @@
 	_, listed := h.hosts["a"]
 	stateCount := len(h.reconciler.pending) + len(h.reconciler.sources[0].claims)
 	if listed || stateCount != 1 {
-		t.Errorf("after removalLinger it is still listed, or has state: %v", h.hosts)
+		t.Errorf("after removalLinger the endpoint is still listed or has state: %v", h.hosts)
 	}
 }
 
@@ -40,8 +40,8 @@
 	return h
 }
 
-// listAfterMaxLag has discovery list a and b, once before and once after its maximum lag. It checks that a is not ready
-// before the second list.
+// listAfterMaxLag has discovery list a and b, once before and once after its maximum lag. It checks
+// that a is not ready before the second list.
 func (h *harness) listAfterMaxLag() {
 	h.t.Helper()
 	h.wantReady("vanished", "b")
@@ -146,7 +146,7 @@
 		h.snapshot(0, uint64(7+i), hosts(sixNames[:i+1]...))
 		h.advance(time.Second)
 	}
-	h.wantReady("all have registered anew", "a b c d e f")
+	h.wantReady("all have registered again", "a b c d e f")
 	h.advance(10 * DefaultConfig.HoldTime)
 	h.wantReady("ten hold times later", "a b c d e f")
 }
@@ -184,13 +184,13 @@
 		h.advance(50 * time.Millisecond)
 	}
 	if n := h.lists - listsBefore; n > 20 {
-		t.Errorf("%d lists for a hundred changes of a flapping node", n)
+		t.Errorf("%d lists for a hundred changes of a flapping node, want at most 20", n)
 	}
 	h.wantReady("flapping", "b")
 	h.advance(maxFlapBackoff + time.Second)
 	h.wantReady("after the backoff", "a b")
 	if host := h.hosts["a"]; host.StartedMS != 0 {
-		t.Errorf("it has a new start time: %v", host)
+		t.Errorf("the endpoint has a new start time: %v", host)
 	}
 	h.wantSingleLogLine("endpoint flapping")
 }
@@ -226,7 +226,7 @@
 	h.snapshot(2, 1, atAddress("127.0.0.1:12"))
 	h.wantReady("three addresses", "a")
 	if host := h.hosts["a"]; host.Address != "127.0.0.1:12" {
-		t.Errorf("at %s, want the address of its node", host.Address)
+		t.Errorf("listed at %s, want the address of its node", host.Address)
 	}
 	h.advance(time.Second)
 	h.delta(1, 2, change("a", balancer.Draining))
--- a/internal/membership/reconcile/suspect.go
+++ b/internal/membership/reconcile/suspect.go
@@ -10,12 +10,12 @@
 // suspicion is the reason why endpoints that still run may be missing from a list.
 type suspicion string
 
-// Reasons, in the form of log lines.
+// Reasons, as log lines name them.
 const (
 	trusted       suspicion = ""
 	emptySnapshot suspicion = "empty"
-	olderSnapshot suspicion = "older" // with a lower version than the list before
-	firstSnapshot suspicion = "first" // since the source was unavailable
+	olderSnapshot suspicion = "older" // with a lower version than the previous list
+	firstSnapshot suspicion = "first" // the first list after the source was unavailable
 )
 
 // suspicionOf returns the reason why a list is suspect, or trusted. A static list is trusted.
@@ -34,7 +34,7 @@
 }
 
 // evictionLimit returns how many of a source's endpoints may be missing from a suspect list or
-// be evicted at once, where present is the number of all of them.
+// be evicted at once. present is the number of the source's endpoints.
 func (r *Reconciler) evictionLimit(present int) int {
 	return max(minEvictable, int(r.cfg.MaxShrinkRatio*float64(present)))
 }
--- a/internal/membership/register/node.go
+++ b/internal/membership/register/node.go
@@ -30,7 +30,7 @@
 
 // Error gives the other server's address.
 func (e *NameTakenError) Error() string {
-	return fmt.Sprintf("the name is registered by another server, at %q", e.Address)
+	return fmt.Sprintf("node name is already registered by another server at %q", e.Address)
 }
 
 // ensureNode ensures that the node exists in the current session, unless the server drains. It
--- a/internal/membership/register/register.go
+++ b/internal/membership/register/register.go
@@ -37,7 +37,7 @@
 )
 
 // ErrNotConnected is returned by Drain if there is no session in which to remove the node.
-var ErrNotConnected = errors.New("no connection: the node is removed when the session ends")
+var ErrNotConnected = errors.New("not connected to the coordination service: the node is removed when its session ends")
 
 // OptionError reports an option that is invalid.
 type OptionError struct {
@@ -74,7 +74,7 @@
 	case strings.Contains(o.Name, "/"):
 		return &OptionError{"name", fmt.Sprintf("%q contains a slash", o.Name)}
 	case len(o.Servers) == 0:
-		return &OptionError{"servers", "at least one is required"}
+		return &OptionError{"servers", "at least one server is required"}
 	case !strings.HasPrefix(o.Path, "/") || path.Clean(o.Path) != o.Path || o.Path == "/":
 		return &OptionError{"path", fmt.Sprintf("%q is not the absolute path of a directory", o.Path)}
 	case o.SessionTimeout <= 0:
--- a/internal/membership/register/register_test.go
+++ b/internal/membership/register/register_test.go
@@ -89,7 +89,7 @@
 		})
 	}
 	service.SetUnresponsive(true)
-	time.Sleep(time.Second) // longer than the session: it must not be reported as expired
+	time.Sleep(time.Second) // longer than the session timeout: the session must not be reported as expired
 	service.SetUnresponsive(false)
 	wait.Until(t, "the node after an outage", exists)
 }
@@ -97,11 +97,11 @@
 // The node holds exactly the bytes that package ephemeral encodes.
 func TestNodeHoldsEncodedData(t *testing.T) {
 	service := startService(t)
-	allSet := options(service)
-	allSet.Data.Kind = "box"
-	allSet.Data.Cell = 7
-	allSet.Data.Weight = 2.5
-	registrar := startRegistrar(t, allSet)
+	withAllFields := options(service)
+	withAllFields.Data.Kind = "box"
+	withAllFields.Data.Cell = 7
+	withAllFields.Data.Weight = 2.5
+	registrar := startRegistrar(t, withAllFields)
 	wait.Until(t, "the node", registrar.Registered)
 	conn, events, err := zk.Connect(service.Addresses(), time.Second, zk.WithLogInfo(false))
 	if err != nil {
@@ -139,7 +139,7 @@
 		t.Error("another server's node was replaced")
 	}
 	service.Delete(nodePath)
-	wait.Until(t, "the name that is free", registrar.Registered)
+	wait.Until(t, "the registration of the free name", registrar.Registered)
 }
 
 // A drain marks the node before it removes it, and the node is not created again.
@@ -165,7 +165,7 @@
 	wait.Until(t, "a new session", func() bool { return len(service.Sessions()) == 1 })
 	time.Sleep(2 * retryDelay)
 	if names := service.Children(directory); len(names) != 0 {
-		t.Errorf("nodes %v after the drain", names)
+		t.Errorf("nodes %v exist after the drain, want none", names)
 	}
 }
 
--- a/internal/membership/registry/client.go
+++ b/internal/membership/registry/client.go
@@ -47,10 +47,11 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-// Watch passes lists and changes to notify until a call fails, and then the failure. If the
-// timing has a RetryDelay, it retries after that delay until ctx ends. The first call does not
-// wait for changes: its response tells the balancer that the watch has begun. after is the
-// version to continue from, nil if no list was received yet; so is the result.
+// Watch passes lists and changes to notify until a call fails, and then reports the failure. If the
+// timing has a RetryDelay, it retries after that delay until ctx ends; otherwise it returns. The first
+// call does not wait for changes, so that its response shows the balancer that the watch has begun.
+// after is the version of the last list that was received, nil if there is none; Watch returns its
+// new value.
 //
 // A watch call that times out is repeated once without delay and without a failure report: the
 // service may be healthy, and changes that were missed may already count as reported.
@@ -72,7 +73,7 @@
 				return after, err
 			}
 			ctxtime.Sleep(ctx, c.timing.RetryDelay)
-		case isForeignDelta(list, after):
+		case isOlderDelta(list, after):
 			after, wait = nil, 0
 			ctxtime.Sleep(ctx, watchPause)
 		default:
@@ -83,9 +84,9 @@
 	}
 }
 
-// isForeignDelta reports whether list holds changes to another list than the one of version
-// after, because its version is older. The client then needs a complete list.
-func isForeignDelta(list engine.List, after *uint64) bool {
+// isOlderDelta reports whether list holds changes with a lower version than after. They belong to
+// another list than the client's, which then needs a complete list.
+func isOlderDelta(list engine.List, after *uint64) bool {
 	return !list.Complete && after != nil && list.Version < *after
 }
 
@@ -112,12 +113,12 @@
 	}
 	list, err := Parse(body)
 	if err != nil {
-		return list, fmt.Errorf("discovery's answer: %w", err)
+		return list, fmt.Errorf("parse discovery response: %w", err)
 	}
 	return list, nil
 }
 
-// requestURL returns the URL of the call that fetch describes.
+// requestURL returns the URL of a call with the parameters of fetch.
 func (c *Client) requestURL(after *uint64, wait time.Duration) string {
 	if after == nil {
 		return c.url
@@ -141,7 +142,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("discovery answered %s", response.Status)
+		return nil, fmt.Errorf("discovery returned HTTP status %s", response.Status)
 	}
 	return body, nil
 }
--- a/internal/membership/registry/client_test.go
+++ b/internal/membership/registry/client_test.go
@@ -79,7 +79,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(body)}, nil
 }
 
-// stalledReader is a body of which nothing arrives until its context ends.
+// stalledReader is a response body that returns no data until its context ends.
 type stalledReader struct{ ctx context.Context }
 
 func (s stalledReader) Read([]byte) (int, error) {
@@ -167,7 +167,7 @@
 				}
 				stalledSince := service.calls[firstOfLastStall(c.outcomes)].at
 				if elapsed := reported[len(reported)-1].at.Sub(stalledSince); elapsed > c.limit {
-					t.Errorf("the next list after %v, want at most %v", elapsed, c.limit)
+					t.Errorf("the next list is received after %v, want at most %v", elapsed, c.limit)
 				}
 			})
 		})
@@ -200,7 +200,7 @@
 		start := time.Now()
 		watch(t, PollTiming, service, 5)
 		if elapsed := time.Since(start); len(service.calls) != 5 || elapsed < 14*time.Second {
-			t.Errorf("%d calls in %v: %v", len(service.calls), elapsed, service.calls)
+			t.Errorf("%d calls in %v, want 5 in at least 14s: %v", len(service.calls), elapsed, service.calls)
 		}
 		if service.calls[1].url != "/registry/instances?after=41&wait_ms=3500" {
 			t.Errorf("the watch call is %s", service.calls[1].url)
@@ -225,10 +225,10 @@
 			t.Fatalf("reported %v, want %v", got, want)
 		}
 		if reported[1].list.Version != 8 || reported[2].list.Version != 3 {
-			t.Errorf("reported %+v", reported)
+			t.Errorf("reported %+v, want versions 8 and 3 after the first", reported)
 		}
 		if service.calls[2].url != "/registry/instances" {
-			t.Errorf("after the lower version: %s", service.calls[2].url)
+			t.Errorf("after the lower version the client called %s", service.calls[2].url)
 		}
 	})
 }
@@ -238,7 +238,7 @@
 		service := &scriptedService{outcomes: []outcome{answeredIndented}}
 		reported := watch(t, PollTiming, service, 1)
 		if reported[0].kind != balancer.ListFull || reported[0].list.Version != 41 {
-			t.Errorf("reported %+v", reported)
+			t.Errorf("reported %+v, want a complete list of version 41", reported)
 		}
 	})
 }
--- a/internal/membership/registry/document.go
+++ b/internal/membership/registry/document.go
@@ -17,11 +17,11 @@
 	Hosts    hosts  `json:"hosts"`
 }
 
-// hostsPerTurn is how many entries of a document are decoded before other goroutines have their turn.
-const hostsPerTurn = 32
+// hostsPerYield is how many entries of a document are decoded before the goroutine yields the processor.
+const hostsPerYield = 32
 
-// hosts are the entries of a document. A long list is decoded in turns, so that it holds nothing up on
-// a single processor.
+// hosts are the entries of a document. Decoding a long list yields the processor regularly, so that it does
+// not delay other goroutines on a machine with a single processor.
 type hosts []host
 
 // UnmarshalJSON decodes an array of entries.
@@ -37,7 +37,7 @@
 		return fmt.Errorf("hosts: %v is not an array", token)
 	}
 	for decoder.More() {
-		if len(*h)%hostsPerTurn == hostsPerTurn-1 {
+		if len(*h)%hostsPerYield == hostsPerYield-1 {
 			runtime.Gosched()
 		}
 		var next host
--- a/internal/membership/registry/timing.go
+++ b/internal/membership/registry/timing.go
@@ -12,9 +12,9 @@
 
 // PollTiming is for a service that all instances share and that handles their calls one at a
 // time. Changes that a stalled watch has missed count as reported 6 s after the stall, or 2 s
-// after the end of its wait, whichever is later. That leaves half a second, besides the drain
-// grace, for the call that opens the watch again. While nothing changes, each instance makes
-// 2 calls in 7 s.
+// after the end of its wait, whichever is later. A stalled call times out after 5.5 s, which
+// leaves half a second, in addition to the drain grace, for the call that opens the watch again.
+// While nothing changes, each instance makes 2 calls in 7 s.
 var PollTiming = Timing{
 	WatchWait:   3500 * time.Millisecond,
 	WatchGrace:  2 * time.Second,
--- a/internal/membership/static/static_test.go
+++ b/internal/membership/static/static_test.go
@@ -18,7 +18,7 @@
 	after, err := source.Watch(ctx, &version, func(kind balancer.ListKind, list engine.List) {
 		reports++
 		if kind != balancer.ListFull || !list.Complete || len(list.Hosts) != 1 || list.Hosts[0].Name != "a" {
-			t.Errorf("reported %v, %+v", kind, list)
+			t.Errorf("reported %v, %+v, want a complete list of endpoint a", kind, list)
 		}
 		cancel()
 	})
@@ -26,6 +26,6 @@
 		t.Errorf("%d reports, want 1", reports)
 	}
 	if after != &version || !errors.Is(err, context.Canceled) {
-		t.Errorf("Watch returned %v, %v", after, err)
+		t.Errorf("Watch returned %v, %v, want the given version and a cancelled context", after, err)
 	}
 }
--- a/internal/membership/zkconn/zkconn.go
+++ b/internal/membership/zkconn/zkconn.go
@@ -1,6 +1,6 @@
-// Package zkconn opens sessions with a coordination service that speaks ZooKeeper's protocol. It
+// Package zkconn opens sessions with a coordination service that uses the ZooKeeper protocol. It
 // wraps the public client library and adds what its users have in common: authentication once
-// for each connection, an owner for the library's event channel, and log lines at debug level.
+// for each connection, a reader of the library's event channel, and log lines at debug level.
 package zkconn
 
 import (
