--- a/cmd/pinedale/crossings_test.go
+++ b/cmd/pinedale/crossings_test.go
@@ -14,17 +14,17 @@
 	"pinedale/internal/standin/wait"
 )
 
-// latestAnswer is how long after SIGTERM every request is still answered by its outcome. The program ends what is in
-// flight after 3.45 s, since the longest deadline of its classes is over 3 s. On a busy machine, a test that responds
-// later than this may rightly see a rejection or a failure.
+// latestAnswer is the time after SIGTERM within which every request is still answered by the outcome of its attempt.
+// The program ends requests in flight after 3.45 s, since the longest deadline of its classes is over 3 s. If the test
+// responds later than this on a busy machine, a rejection or a failure is correct.
 const latestAnswer = 3 * time.Second
 
 // attemptEnd is how an attempt ends.
 type attemptEnd struct {
 	name     string
 	response string
-	mayRun   bool // as far as the program can know
-	code     int  // that the client receives if the request is not idempotent
+	mayRun   bool // the endpoint may have processed the request, as far as the program can know
+	code     int  // received by the client if the request is not idempotent
 }
 
 var attemptEnds = []attemptEnd{
@@ -36,47 +36,47 @@
 	{"truncated head", testfleet.TruncatedHead, true, http.StatusBadGateway},
 }
 
-// crossing is what happens while an attempt is in flight.
-type crossing string
+// concurrentEvent is an event that occurs while an attempt is in flight.
+type concurrentEvent string
 
 const (
-	noCrossing       crossing = "nothing"
-	shutdown         crossing = "SIGTERM"
-	secondShutdown   crossing = "SIGTERM twice and the end of the listener"
-	reload           crossing = "SIGHUP"
-	reloadShutdown   crossing = "SIGHUP and SIGTERM"
-	clientDisconnect crossing = "a client's disconnect"
+	noEvent          concurrentEvent = "nothing"
+	shutdown         concurrentEvent = "SIGTERM"
+	secondShutdown   concurrentEvent = "SIGTERM twice and the end of the listener"
+	reload           concurrentEvent = "SIGHUP"
+	reloadShutdown   concurrentEvent = "SIGHUP and SIGTERM"
+	clientDisconnect concurrentEvent = "a client's disconnect"
 )
 
-var crossings = []crossing{
-	noCrossing, shutdown, secondShutdown, reload, reloadShutdown, clientDisconnect,
+var concurrentEvents = []concurrentEvent{
+	noEvent, shutdown, secondShutdown, reload, reloadShutdown, clientDisconnect,
 }
 
 // shutsDown reports whether the program is shutting down when the attempt ends.
-func (c crossing) shutsDown() bool {
-	return c == shutdown || c == secondShutdown || c == reloadShutdown
+func (event concurrentEvent) shutsDown() bool {
+	return event == shutdown || event == secondShutdown || event == reloadShutdown
 }
 
-// crossingCase is one combination of what TestCrossings varies.
-type crossingCase struct {
+// eventCase is one combination of the parameters of TestCrossings.
+type eventCase struct {
 	class        string
 	end          attemptEnd
-	crossing     crossing
+	event        concurrentEvent
 	cancel       bool // the settings permit to cancel attempts
-	singleThread bool // as the platform runs the program
+	singleThread bool // GOMAXPROCS is 1, as on the platform
 }
 
-// crossingCases returns all combinations of class, end and crossing. The other fields alternate.
-func crossingCases() []crossingCase {
-	var cases []crossingCase
+// eventCases returns all combinations of class, end and event. The other fields alternate.
+func eventCases() []eventCase {
+	var cases []eventCase
 	for _, class := range classes {
 		for _, end := range attemptEnds {
-			for _, crossing := range crossings {
+			for _, event := range concurrentEvents {
 				number := len(cases) + 1
-				cases = append(cases, crossingCase{
+				cases = append(cases, eventCase{
 					class:        class,
 					end:          end,
-					crossing:     crossing,
+					event:        event,
 					cancel:       number%2 == 0,
 					singleThread: number%4 < 2,
 				})
@@ -86,12 +86,12 @@
 	return cases
 }
 
-// Whatever the end of an attempt, and whatever happens while it is in flight, an accepted request gets one final
+// Whatever event occurs while an attempt is in flight, and however the attempt ends, an accepted request gets one final
 // answer. A request that is not idempotent is retried only if it never ran, nothing is sent for a client that has
 // disconnected, and no connection stays open.
 func TestCrossings(t *testing.T) {
-	for _, test := range crossingCases() {
-		name := fmt.Sprintf("%s ends %s crossed by %s", test.class, test.end.name, test.crossing)
+	for _, test := range eventCases() {
+		name := fmt.Sprintf("%s ends %s crossed by %s", test.class, test.end.name, test.event)
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			test.run(t)
@@ -99,8 +99,8 @@
 	}
 }
 
-// run sends a request, lets the crossing happen while its first attempt is in flight, and checks what follows.
-func (test crossingCase) run(t *testing.T) {
+// run sends a request, triggers the event while its first attempt is in flight, and checks the answer and the attempts.
+func (test eventCase) run(t *testing.T) {
 	h := newHarness(t, test.cancel)
 	var env []string
 	if test.singleThread {
@@ -111,27 +111,27 @@
 	id := h.send(client, test.class)
 	attempt := h.nextAttempt()
 	h.serveAtOnce.Store(true)
-	crossed := time.Now()
-	h.cross(test.crossing, client)
+	eventTime := time.Now()
+	h.triggerEvent(test.event, client)
 	attempt.Respond(test.end.response)
-	h.endAfter(test.crossing, client)
-	if test.crossing != clientDisconnect {
-		test.checkAnswer(t, client, time.Since(crossed))
+	h.endAfter(test.event, client)
+	if test.event != clientDisconnect {
+		test.checkAnswer(t, client, time.Since(eventTime))
 	}
 	h.waitForExit()
 	test.checkAttempts(t, h.attempts(id), client.StatusCodes())
 	wait.Until(t, "connections to backends to end", func() bool { return h.backends.OpenConnCount() == 0 })
 }
 
-// cross has a crossing happen and waits until the program knows of it.
-func (h *harness) cross(c crossing, client *testfleet.Client) {
+// triggerEvent triggers an event and waits until the program has observed it.
+func (h *harness) triggerEvent(event concurrentEvent, client *testfleet.Client) {
 	h.t.Helper()
-	switch c {
-	case noCrossing:
+	switch event {
+	case noEvent:
 	case reload, reloadShutdown:
 		other := fakediscovery.New(h.t, h.config.Hosts...)
 		h.switchDiscovery(other)
-		if c == reloadShutdown {
+		if event == reloadShutdown {
 			h.beginShutdown()
 			return
 		}
@@ -150,20 +150,21 @@
 		})
 	case clientDisconnect:
 		client.Close()
-		wait.Until(h.t, "the program to notice", func() bool { return !h.hasConnection(client.LocalAddr()) })
+		wait.Until(h.t, "the program to close the client's connection",
+			func() bool { return !h.hasConnection(client.LocalAddr()) })
 	}
 }
 
-// endAfter has the program end after a crossing. It returns once the client's connection has ended, if the client is
-// still there.
-func (h *harness) endAfter(c crossing, client *testfleet.Client) {
+// endAfter makes the program end after an event. It returns once the client's connection has ended, if the client is
+// still connected.
+func (h *harness) endAfter(event concurrentEvent, client *testfleet.Client) {
 	h.t.Helper()
-	switch c {
+	switch event {
 	case clientDisconnect:
 		h.process.Signal(syscall.SIGTERM)
 		return
-	case noCrossing, reload:
-		// The request is answered and its connection becomes idle: shutdown closes it.
+	case noEvent, reload:
+		// The request is answered and its connection becomes idle. Shutdown closes idle connections.
 		select {
 		case <-client.Responded():
 		case <-client.Closed():
@@ -173,27 +174,27 @@
 	<-client.Closed()
 }
 
-// checkAnswer checks that the client got one answer, of the code that the case requires. took is the time since
-// the crossing.
-func (test crossingCase) checkAnswer(t *testing.T, client *testfleet.Client, took time.Duration) {
+// checkAnswer checks that the client received one answer, with the status code that the case requires. took is the time
+// since the event.
+func (test eventCase) checkAnswer(t *testing.T, client *testfleet.Client, took time.Duration) {
 	t.Helper()
 	want := http.StatusOK
 	if test.class == "order" && test.end.mayRun {
 		want = test.end.code
 	}
-	late := test.crossing.shutsDown() && took > latestAnswer
+	late := test.event.shutsDown() && took > latestAnswer
 	codes := client.StatusCodes()
 	if len(codes) != 1 || codes[0] != want && !late || client.Err() != nil {
 		t.Errorf("answers %v, %v; want %d", codes, client.Err(), want)
 	}
 }
 
-// checkAttempts checks the number of attempts of a request whose client got these answers.
-func (test crossingCase) checkAttempts(t *testing.T, attempts int, codes []int) {
+// checkAttempts checks the number of attempts of a request. codes are the status codes that its client received.
+func (test eventCase) checkAttempts(t *testing.T, attempts int, codes []int) {
 	t.Helper()
 	minAttempts, maxAttempts := 1, 3
 	switch {
-	case test.crossing == clientDisconnect, test.class == "order" && test.end.mayRun:
+	case test.event == clientDisconnect, test.class == "order" && test.end.mayRun:
 		maxAttempts = 1
 	case test.end.response != scriptedconn.Served && len(codes) == 1 && codes[0] == http.StatusOK:
 		minAttempts = 2
--- a/cmd/pinedale/discovery_test.go
+++ b/cmd/pinedale/discovery_test.go
@@ -13,8 +13,8 @@
 	"pinedale/internal/standin/wait"
 )
 
-// A watch stays open but nothing arrives on it any more. The program opens a new one, and an endpoint that has begun
-// to drain meanwhile gets no new request once the program has received that list.
+// A watch connection stays open but delivers nothing any more. The program opens a new watch, and an endpoint that has
+// begun to drain meanwhile gets no new request once the program has received the new list.
 func TestDrainIsHonouredAfterWatchStalled(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, true)
@@ -29,7 +29,7 @@
 	}
 	callsBefore := h.discovery.CallCount()
 	h.discovery.SetHosts(2, hosts...)
-	// A call for what is newer than a version acknowledges it.
+	// A call for lists newer than a version acknowledges that version.
 	wait.Until(t, "a new watch that has received version 2", func() bool {
 		return slices.ContainsFunc(h.discovery.Queries()[callsBefore:], func(query string) bool {
 			return strings.HasPrefix(query, "after=2&")
@@ -42,7 +42,7 @@
 		h.send(client, "read")
 		attempt := h.nextAttempt()
 		if draining[attempt.Address] {
-			t.Errorf("a request went to %s, which drains", attempt.Address)
+			t.Errorf("a request was sent to the draining endpoint %s", attempt.Address)
 		}
 		attempt.Respond(scriptedconn.Served)
 	}
@@ -50,11 +50,11 @@
 	<-client.Closed()
 	h.waitForExit()
 	if codes := client.StatusCodes(); len(codes) != requests || client.Err() != nil {
-		t.Errorf("%d answers, %v", len(codes), client.Err())
+		t.Errorf("%d answers, error %v", len(codes), client.Err())
 	}
 }
 
-// A program that has no list yet, and whose new configuration is half written, rejects requests and ends on SIGTERM.
+// A program that has no list yet, and whose new configuration is half written, rejects requests and exits on SIGTERM.
 func TestEndsWithoutAList(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, true)
@@ -77,6 +77,6 @@
 	h.waitForExit()
 	codes := client.StatusCodes()
 	if len(codes) != 1 || codes[0] != http.StatusServiceUnavailable || client.Err() != nil {
-		t.Errorf("answers %v, %v; want one rejection", codes, client.Err())
+		t.Errorf("answers %v, error %v; want one rejection", codes, client.Err())
 	}
 }
--- a/cmd/pinedale/harness_test.go
+++ b/cmd/pinedale/harness_test.go
@@ -18,13 +18,13 @@
 	"pinedale/internal/standin/wait"
 )
 
-// The classes of testfleet.FullSettings.
+// classes are the classes of testfleet.FullSettings.
 var classes = []string{"read", "pay", "close", "order"}
 
-// clientTimeout is how long the tests' requests may take.
+// clientTimeout is the time left of the tests' requests.
 const clientTimeout = 20 * time.Second
 
-// harness is the program in a process of its own, with three backends and discovery.
+// harness runs the program in its own process, with three backends and a discovery service.
 type harness struct {
 	t          *testing.T
 	config     testfleet.SidecarConfig
@@ -33,10 +33,10 @@
 	discovery  *fakediscovery.Directory
 	backends   *testfleet.Backends
 
-	arrivals     chan *testfleet.Attempt // those that wait for the test
-	serveAtOnce  atomic.Bool             // new attempts do not wait for the test
+	arrivals     chan *testfleet.Attempt // attempts for the test to respond to
+	serveAtOnce  atomic.Bool             // new attempts are served at once instead
 	mu           sync.Mutex
-	attemptCount map[string]int // by request
+	attemptCount map[string]int // by request id
 }
 
 // newHarness starts backends and discovery. The settings permit to cancel attempts if cancel is set.
@@ -64,7 +64,7 @@
 	return h
 }
 
-// receive counts an attempt, and serves it or leaves it to the test.
+// receive counts an attempt, and serves it or passes it to the test.
 func (h *harness) receive(a *testfleet.Attempt) {
 	h.mu.Lock()
 	h.attemptCount[a.RequestID]++
@@ -82,7 +82,7 @@
 	h.startUntil("the program to be ready", h.isReady, env...)
 }
 
-// startUntil starts the program, with additional variables in its environment, and waits for a condition.
+// startUntil starts the program with additional environment variables, and waits for a condition.
 func (h *harness) startUntil(what string, condition func() bool, env ...string) {
 	h.t.Helper()
 	cmd, configPath := command(h.t, h.config.JSON(h.t))
@@ -92,7 +92,7 @@
 	wait.Until(h.t, what, condition)
 }
 
-// isReady reports whether the program responds that it is ready.
+// isReady reports whether the program's readiness check succeeds.
 func (h *harness) isReady() bool { return testfleet.IsReady(h.config.Listen) }
 
 // nextAttempt waits for the next request at a backend.
@@ -154,7 +154,7 @@
 	wait.Until(h.t, "the program to be no longer ready", func() bool { return !h.isReady() })
 }
 
-// waitForExit waits until the program has ended by itself, with exit code 0.
+// waitForExit waits until the program has exited without a kill, with exit code 0.
 func (h *harness) waitForExit() {
 	h.t.Helper()
 	if err := h.process.Wait(wait.Timeout); err != nil {
@@ -165,7 +165,7 @@
 // tcpTimeWait is the state TIME_WAIT in /proc/net/tcp.
 const tcpTimeWait = "06"
 
-// hasConnection reports whether the program's side of a client's connection is open, by the kernel's table.
+// hasConnection reports whether the kernel lists the program's side of a client's connection as open.
 func (h *harness) hasConnection(client net.Addr) bool {
 	h.t.Helper()
 	table, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/tcp", h.process.PID()))
--- a/cmd/pinedale/main.go
+++ b/cmd/pinedale/main.go
@@ -1,5 +1,5 @@
-// Command pinedale is one sidecar: it accepts the requests of the application beside it and forwards them
-// to endpoints from discovery. Its configuration is the file at $BALANCER_CONFIG, read again on SIGHUP.
+// Command pinedale is the sidecar: it accepts requests from the application beside it and forwards them to
+// endpoints from discovery. It reads its configuration from the file at $BALANCER_CONFIG, and again on SIGHUP.
 // On SIGTERM it answers the requests that it has accepted and exits.
 package main
 
@@ -18,8 +18,8 @@
 
 const (
 	bytesPerMB = 1 << 20
-	// heapTenths is the heap's part of the memory at which the platform kills the process. The rest is
-	// for what the runtime does not count.
+	// heapTenths is the part of the memory limit, in tenths, that the runtime's soft memory limit allows. The
+	// platform kills the process at the limit; the rest is for memory that the runtime does not count.
 	heapTenths = 8
 )
 
@@ -31,7 +31,7 @@
 }
 
 func run() error {
-	// Registered first: without a handler, SIGHUP would end the process.
+	// The handler is registered first, because without one SIGHUP ends the process.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	path := os.Getenv("BALANCER_CONFIG")
--- a/cmd/pinedale/main_test.go
+++ b/cmd/pinedale/main_test.go
@@ -18,14 +18,14 @@
 	"pinedale/internal/standin/wait"
 )
 
-// programName is that of the tested program for testfleet.
+// programName is the name of the tested program in testfleet.
 const programName = "pinedale"
 
 func TestMain(m *testing.M) {
 	testfleet.Main(m, map[string]func(){programName: main})
 }
 
-// command returns a command that runs the program with a configuration file of this text, and the file's path.
+// command returns a command that runs the program with a configuration file of this text, and the path of the file.
 func command(t *testing.T, config string) (cmd *exec.Cmd, configPath string) {
 	t.Helper()
 	configPath = filepath.Join(t.TempDir(), "config.json")
@@ -35,7 +35,7 @@
 	return cmd, configPath
 }
 
-// unusedAddress is an address on which nothing listens.
+// unusedAddress is an address on which no process listens.
 const unusedAddress = "127.0.0.1:1"
 
 // minimalConfig returns a configuration whose only endpoint does not exist.
@@ -84,8 +84,8 @@
 	}
 }
 
-// SIGHUP, which by default ends a process, has the program read its file again; an invalid file changes nothing.
-// SIGTERM ends the program, even if SIGHUP follows it.
+// SIGHUP, which by default ends a process, makes the program read its file again; an invalid file changes nothing.
+// SIGTERM ends the program, even if SIGHUP follows.
 func TestSIGHUPReloadsAndSIGTERMEndsProgram(t *testing.T) {
 	listen := ports.MustFree(t)
 	cmd, configPath := command(t, minimalConfig(t, listen, unusedAddress))
@@ -110,10 +110,10 @@
 	select {
 	case query := <-queries:
 		if query != "/registry/instances" {
-			t.Errorf("the first query to the new address is %s", query)
+			t.Errorf("the first query to the new address is %s, want /registry/instances", query)
 		}
 	case <-time.After(wait.Timeout):
-		t.Fatal("the new address gets no query")
+		t.Fatal("the new address received no query")
 	}
 	if !testfleet.IsReady(listen) {
 		t.Error("the program is not ready after SIGHUP")
--- a/cmd/pinedale/restart_test.go
+++ b/cmd/pinedale/restart_test.go
@@ -10,8 +10,8 @@
 	"pinedale/internal/standin/wait"
 )
 
-// A program that is killed with requests in flight and started again under its name and address serves at once, and
-// sends nothing again: the connections of its clients were reset, and only they know what they retry.
+// A program that is killed with requests in flight and restarted under its name and address serves at once. It does not
+// resend requests: its clients' connections were reset, and only the clients know what they retry.
 func TestRestartAfterKillServes(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, true)
@@ -29,12 +29,12 @@
 	}
 	h.process.Signal(syscall.SIGKILL)
 	if err := h.process.Wait(wait.Timeout); err == nil {
-		t.Error("a process that was killed ended without an error")
+		t.Error("the killed process exited without an error")
 	}
 	for _, client := range clients {
 		<-client.Closed()
 		if codes := client.StatusCodes(); len(codes) > 0 {
-			t.Errorf("answers %v from a process that was killed", codes)
+			t.Errorf("answers %v from the killed process, want none", codes)
 		}
 	}
 
@@ -51,11 +51,11 @@
 	<-client.Closed()
 	h.waitForExit()
 	if codes := client.StatusCodes(); len(codes) == 0 || codes[0] != http.StatusOK {
-		t.Errorf("after the restart: answers %v, %v", codes, client.Err())
+		t.Errorf("after the restart: answers %v, error %v; want 200 first", codes, client.Err())
 	}
 	for id, class := range classByID {
 		if n := h.attempts(id); n != 1 {
-			t.Errorf("%s was sent %d times", class, n)
+			t.Errorf("the request of class %s was sent %d times, want once", class, n)
 		}
 	}
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -27,8 +27,8 @@
 	Settings  balancer.Settings
 
 	cachedList   engine.List   // endpoints known before the first response of discovery
-	zones        []string      // names, by the numbers that the balancer uses
-	kinds        []string      // likewise
+	zones        []string      // names, indexed by the balancer's zone numbers
+	kinds        []string      // names, indexed by the balancer's kind numbers
 	reportFields []string      // of a load report, in the order of Settings.Fields
 	idleTimeout  time.Duration // after which an endpoint may close a connection
 }
@@ -39,16 +39,16 @@
 	Sockets  int `json:"sockets"`
 }
 
-// minSockets is the fewest sockets with which a sidecar can serve anything at all.
+// minSockets is the smallest socket limit with which a sidecar can serve requests.
 const minSockets = 64
 
-// Limits that hold where the settings leave them out.
+// Default limits, used where the settings omit them.
 const (
 	defaultKeepAlive   balancer.Micros = 15_000_000
 	defaultDialTimeout balancer.Micros = 250_000
 )
 
-// configFile is the platform's file.
+// configFile is the format of the configuration file that the platform writes.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -59,8 +59,8 @@
 	Settings  json.RawMessage `json:"settings"` // the balancer's
 }
 
-// settingsNames are the names in the settings as they are written: the simulator's text, through
-// which all else is read, has them without spaces and commas.
+// settingsNames holds the names in the settings exactly as written. Everything else is read through the
+// simulator's settings text, in which names have no spaces or commas.
 type settingsNames struct {
 	Classes   []namedEntry `json:"classes"`
 	Tenants   []namedEntry `json:"tenants"`
@@ -71,12 +71,12 @@
 	} `json:"reporting"`
 }
 
-// namedEntry is an entry of a list, of which only the name is read.
+// namedEntry is an entry of a list. Only its name is read.
 type namedEntry struct {
 	Name string `json:"name"`
 }
 
-// LoadConfig reads a configuration file. Its errors name the key at fault.
+// LoadConfig reads a configuration file. An error for an invalid value names its key.
 func LoadConfig(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", file.Seed)
+		return nil, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", file.Seed)
 	}
 	if err := file.Limits.check(); err != nil {
 		return nil, err
@@ -140,13 +140,13 @@
 		return fmt.Errorf("limits.memory_mb: %d is not positive", l.MemoryMB)
 	}
 	if l.Sockets < minSockets {
-		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets: %d is below the minimum of %d", l.Sockets, minSockets)
 	}
 	return nil
 }
 
-// readSettings reads the balancer's settings through the parser that the simulator's adapter uses,
-// and adds what only real sockets need: names as they are written and default limits.
+// readSettings reads the balancer's settings with the parser of the simulator's settings text, then sets
+// what the simulator does not need: names exactly as written and default limits.
 func (c *Config) readSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return errors.New("the key is missing")
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// applyDefaultLimits sets the limits that the settings leave out. Those that the settings have must be
+// applyDefaultLimits sets the limits that the settings omit. Limits that the settings contain must be
 // positive.
 func (c *Config) applyDefaultLimits(settings map[string]any) error {
 	given, _ := settings["limits"].(map[string]any)
@@ -201,17 +201,17 @@
 	return nil
 }
 
-// applyNames sets the names of classes, tenants, zones, kinds and report fields as they are written in
-// the settings, which is how requests and lists have them.
+// applyNames sets the names of classes, tenants, zones, kinds and report fields exactly as written in the
+// settings, since requests and endpoint lists refer to them in that form.
 func (c *Config) applyNames(names *settingsNames) error {
 	if len(names.Classes) != len(c.Settings.Classes) || len(names.Tenants) != len(c.Settings.Tenants) {
-		return errors.New("classes or tenants: the key occurs twice")
+		return errors.New("classes or tenants: duplicate key")
 	}
 	seen := map[string]bool{}
 	for i := range c.Settings.Classes {
 		name := names.Classes[i].Name
 		if name == "" || seen[name] {
-			return fmt.Errorf("classes.%d.name: %q is empty or another class has it", i, name)
+			return fmt.Errorf("classes.%d.name: %q is empty or used by another class", i, name)
 		}
 		seen[name] = true
 		c.Settings.Classes[i].Name = name
@@ -225,14 +225,14 @@
 	return nil
 }
 
-// micros converts the balancer's microseconds.
+// micros converts the balancer's microseconds to a time.Duration.
 func micros(m balancer.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 
-// flatten writes a JSON value as the path=value lines of the simulator's first message: lists of
-// objects by their length and index, other lists with commas.
+// flatten writes a JSON value as path=value lines, the settings text of the simulator's begin record. A list
+// of objects is written as its length and one path for each index, any other list as comma-separated values.
 func flatten(out *strings.Builder, path string, value any) {
 	switch v := value.(type) {
-	case nil: // as if absent
+	case nil: // same as an absent key
 	case map[string]any:
 		for key, item := range v {
 			flatten(out, joinPath(path, key), item)
@@ -244,7 +244,7 @@
 	}
 }
 
-// flattenList writes a list. The kind of its first item decides the form.
+// flattenList writes a list. The type of its first item determines the form of the whole list.
 func flattenList(out *strings.Builder, path string, list []any) {
 	if len(list) > 0 {
 		if _, objects := list[0].(map[string]any); objects {
@@ -273,5 +273,5 @@
 // separators are the characters that may not occur in a value of the settings text.
 var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-// scalar is the text of a value that is neither a list nor an object.
+// scalar returns the text of a value that is neither a list nor an object.
 func scalar(value any) string { return separators.Replace(fmt.Sprint(value)) }
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -9,7 +9,7 @@
 	"pinedale/balancer"
 )
 
-// An invalid configuration is an error of one line that names the key at fault.
+// The error of an invalid configuration is a single line that names the invalid key.
 func TestInvalidConfigNamesTheKey(t *testing.T) {
 	good := `{
 		"name":"n3",
@@ -62,18 +62,18 @@
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if _, err := LoadConfig(path); err == nil {
-		t.Error("a missing file is no error")
+		t.Error("LoadConfig accepts a missing file")
 	}
 	if err := os.WriteFile(path, []byte(good[:100]), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := LoadConfig(path); err == nil {
-		t.Error("half a file is no error")
+		t.Error("LoadConfig accepts a truncated file")
 	}
 }
 
-// Keys may be missing, unknown or empty, and names may have characters that the simulator's text
-// cannot hold.
+// Keys may be missing, unknown or empty, and names may contain characters that the simulator's settings text cannot
+// represent.
 func TestOptionalSettingsMayBeMissing(t *testing.T) {
 	head := `{
 		"name":"n3",
@@ -124,12 +124,12 @@
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		} else if !test.check(cfg) {
-			t.Errorf("%s: %+v", name, cfg)
+			t.Errorf("%s: wrong configuration %+v", name, cfg)
 		}
 	}
 }
 
-// flatten writes the path=value lines that the simulator writes.
+// flatten writes the same path=value lines as the simulator.
 func TestFlattenWritesSettingsText(t *testing.T) {
 	var out strings.Builder
 	flatten(&out, "", map[string]any{"a": map[string]any{"b": []any{
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -24,21 +24,21 @@
 	_, _ = io.WriteString(conn, text) // a rejected header may end the connection before the body is written
 	got, err := io.ReadAll(conn)
 	if e := net.Error(nil); errors.As(err, &e) && e.Timeout() {
-		h.t.Errorf("the connection stays open; so far: %q", got)
+		h.t.Errorf("the connection stays open after %q", got)
 	}
 	return string(got)
 }
 
-// Headers of requests, without an id and without the end.
+// Request headers without a correlation id and without the empty line at the end.
 const (
 	payHeaders = "POST /pay HTTP/1.1\r\nHost: api\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 3000\r\n" +
 		"Idempotency-Key: k\r\n"
 	readHeaders = "GET /read HTTP/1.1\r\nHost: api\r\nX-Service-Class: read\r\nX-Time-Left-Ms: 3000\r\n"
 )
 
-// Request smuggling: a request may hide in the body of one whose length is stated in two ways. Such a
-// request is rejected, and nothing behind it is read as a request. net/http does not show its handlers
-// the second length.
+// Request smuggling: a request whose length is stated in two ways can hide another one in its body. Such a
+// request is rejected, and no bytes after it are read as a request. net/http does not show its handlers the
+// second length.
 func TestRequestWithTwoLengthsIsRejected(t *testing.T) {
 	h, endpoint := startServing(t)
 	hidden := readHeaders + "X-Correlation-Id: 2\r\n\r\n"
@@ -54,7 +54,7 @@
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
-	// The same after a valid request, where net/http skips empty lines.
+	// A smuggling request after a valid one: net/http skips empty lines between requests.
 	conn := h.dial()
 	in := bufio.NewReader(conn)
 	h.mustWrite(conn, payHeaders+"X-Correlation-Id: 3\r\nContent-Length: 2\r\n\r\nok")
@@ -73,12 +73,12 @@
 		t.Errorf("after an empty line: got %q", rest)
 	}
 	if n := endpoint.RequestCount(); n != 1 {
-		t.Errorf("%d requests reached the endpoint, want the valid one", n)
+		t.Errorf("%d requests reached the endpoint, want only the valid one", n)
 	}
 }
 
-// A chunked body is valid HTTP/1.1 and is served. The connection is closed after it, as it is after a
-// request with more bytes behind it.
+// A chunked body is valid HTTP/1.1 and is served. The connection is closed after it, as after a request that
+// is followed by more bytes.
 func TestChunkedAndPipelinedRequestsCloseTheConnection(t *testing.T) {
 	h, endpoint := startServing(t)
 	for name, text := range map[string]string{
@@ -96,12 +96,12 @@
 	}
 	for i := range 2 {
 		if body, _ := io.ReadAll(endpoint.Request(i).Body); string(body) != "body" {
-			t.Errorf("the endpoint got the body %q", body)
+			t.Errorf("the endpoint received the body %q, want \"body\"", body)
 		}
 	}
 }
 
-// Bytes that are no valid request are rejected before a body is read, or the connection is closed.
+// Bytes that are not a valid request are rejected before a body is read, or their connection is closed.
 func TestInvalidHTTPIsRejected(t *testing.T) {
 	h, endpoint := startServing(t)
 	for name, test := range map[string]struct{ text, want string }{
@@ -119,24 +119,24 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			got := h.exchangeRaw(test.text)
-			if !strings.HasPrefix(got, test.want) && got != "" { // a reset may discard the response
+			if !strings.HasPrefix(got, test.want) && got != "" { // a connection reset may discard the response
 				t.Errorf("got %q, want %s", got, test.want)
 			}
 		})
 	}
 	t.Cleanup(func() {
 		if n := endpoint.RequestCount(); n != 0 {
-			t.Errorf("%d of them reached the endpoint", n)
+			t.Errorf("%d invalid requests reached the endpoint", n)
 		}
 	})
 }
 
-// Connections on which nothing, an incomplete request or nothing more is received are closed in time.
-// The platform allows 3 s; the limits stay under 2.9 s.
+// A connection on which no request, only part of one or no further one arrives is closed in time. The
+// platform allows 3 s; the limits stay under 2.9 s.
 func TestIdleClientConnectionsAreClosed(t *testing.T) {
 	for _, limit := range []time.Duration{httpfront.ReadTimeout, httpfront.IdleTimeout} {
 		if limit < 2*time.Second || limit > 2900*time.Millisecond {
-			t.Errorf("limit of %v", limit)
+			t.Errorf("the limit %v is not between 2s and 2.9s", limit)
 		}
 	}
 	h, _ := startServing(t)
@@ -155,8 +155,8 @@
 	}
 }
 
-// The read deadline must be cleared once a request is read: net/http takes its expiry for a
-// disconnected client and cancels the request's context.
+// The read deadline must be cleared once a request has been read: net/http would treat its expiry as a
+// disconnected client and cancel the request's context.
 func TestResponseAfterReadTimeoutIsDelivered(t *testing.T) {
 	t.Parallel()
 	h, _ := startWithEndpoint(t, func(e *scriptedconn.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// A second request with the id of one in flight is a conflict; the id is free again afterwards.
+// A second request with the correlation id of one in flight is a conflict; the id can be used again afterwards.
 func TestDuplicateIDIsRejectedWhileInFlight(t *testing.T) {
 	answer := make(chan struct{})
 	h, endpoint := startWithEndpoint(t, scriptedconn.ServedAfter(answer, nil))
@@ -187,12 +187,12 @@
 		t.Errorf("the first request: %+v", got)
 	}
 	if got := h.send(same); got.code != http.StatusOK {
-		t.Errorf("once the id is free again: %+v", got)
+		t.Errorf("a request with the same id after the first was answered: %+v", got)
 	}
 }
 
-// Idle connections must neither keep others out nor use up the sockets that attempts need: beyond the
-// limit the one that has been idle longest is closed. One with a request in flight is not.
+// Idle connections must neither block new ones nor use up the sockets that attempts need: beyond the limit,
+// the connection that has been idle longest is closed. A connection with a request in flight is not closed.
 func TestLongestIdleConnectionIsClosedAtLimit(t *testing.T) {
 	answer := make(chan struct{})
 	h, endpoint := startWithEndpoint(t, scriptedconn.ServedAfter(answer, isPay))
@@ -206,10 +206,10 @@
 	}
 	h.waitFor("the limit to be reached", func() bool { return h.server.Connections() == h.maxConnections })
 	if got := h.send(h.newRequest("read", "", 3*time.Second)); got.code != http.StatusOK {
-		t.Errorf("beyond the limit: %+v", got)
+		t.Errorf("a request beyond the connection limit: %+v", got)
 	}
 	if _, err := oldest.Read(make([]byte, 1)); err == nil {
-		t.Error("the longest idle connection can still be read")
+		t.Error("the longest idle connection still receives data")
 	} else if e := net.Error(nil); errors.As(err, &e) && e.Timeout() {
 		t.Error("the longest idle connection stays open")
 	}
@@ -222,8 +222,8 @@
 	}
 }
 
-// Clients that send one request and keep the connection must not use up all connections: beyond a
-// threshold a response closes its connection.
+// Clients that send one request and keep the connection open must not use up all connections: above a
+// threshold, each response closes its connection.
 func TestResponsesCloseConnectionsAboveThreshold(t *testing.T) {
 	const threshold = 3 // few enough for all requests to arrive before a connection is closed as idle
 	endpoint := newServingEndpoint(t)
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -15,13 +15,13 @@
 	"pinedale/internal/standin/wait"
 )
 
-// The end of a body that is sent later than the request's time left does not shorten it: the client counts from the
-// last byte.
+// A request's time left counts from its last byte, as it does for the client: a body that is completed late does not
+// reduce it.
 func TestDeadlineCountsFromTheLastByte(t *testing.T) {
 	const (
 		clientTimeout = 400 * time.Millisecond
 		slowWrite     = 500 * time.Millisecond
-		tailBytes     = 5 // that are sent late
+		tailBytes     = 5 // number of bytes that are sent late
 	)
 	h, endpoint := startServing(t)
 	conn := h.dial()
@@ -47,7 +47,7 @@
 }
 
 // A request whose endpoint does not respond is answered before the client's deadline. The balancer
-// receives a timeout even if its own timer for the same instant cancels the attempt first.
+// receives the status Timeout even if its own timer for the same instant cancels the attempt first.
 func TestUnresponsiveEndpointIsAnsweredByDeadline(t *testing.T) {
 	for class, code := range map[string]int{"read": 503, "pay": 503, "close": 502, "order": 502} {
 		t.Run(class, func(t *testing.T) {
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -19,10 +19,10 @@
 	"pinedale/internal/standin/wait"
 )
 
-// A client that disconnects while its request waits for a connection gets no response, and its request
-// is not written once the connection is established: not even if the settings forbid to cancel attempts,
-// or if bytes behind the request hide the disconnect from net/http, which stops watching the connection
-// once a byte has arrived.
+// A client that disconnects while its request waits for a connection to an endpoint gets no response, and its
+// request is not written once the connection is established. This also holds if the settings forbid the sidecar
+// to cancel attempts, and if bytes behind the request hide the disconnect from net/http, which stops watching
+// the connection once a byte has arrived.
 func TestRequestOfDisconnectedClientIsNotWritten(t *testing.T) {
 	const (
 		pay  = payHeaders + "X-Correlation-Id: 2\r\n\r\n"
@@ -72,7 +72,7 @@
 	}
 }
 
-// Ways in which a client disconnects.
+// Functions that disconnect a client.
 func closeConn(conn net.Conn)     { conn.Close() }
 func halfCloseConn(conn net.Conn) { _ = conn.(*net.TCPConn).CloseWrite() }
 func resetConn(conn net.Conn) {
@@ -80,7 +80,7 @@
 	conn.Close()
 }
 
-// requestsInFlight returns their number in the engine.
+// requestsInFlight returns the number of requests in flight in the engine.
 func (h *harness) requestsInFlight() int {
 	h.t.Helper()
 	requests := 0
@@ -113,7 +113,7 @@
 		}
 		body, err := io.ReadAll(response.Body)
 		if err != nil || response.StatusCode != http.StatusOK || string(body) != "done" {
-			t.Fatalf("got %d %q, %v", response.StatusCode, body, err)
+			t.Fatalf("response %d %q, error %v", response.StatusCode, body, err)
 		}
 		response.Body.Close()
 	}
@@ -125,11 +125,11 @@
 	}
 }
 
-// A request with an idempotency key that may have run is not written again once the dedup window of its
-// key is over, however long the connection takes to be established.
+// A request with an idempotency key that may have run is not written again after the dedup window of its key,
+// even if establishing the connection takes longer than the window.
 func TestRetryIsNotWrittenAfterDedupWindow(t *testing.T) {
 	endpoint := scriptedconn.New(t, scriptedconn.FirstThen(scriptedconn.Failing, scriptedconn.Served))
-	// Both names have the address of one endpoint: whichever is chosen first fails.
+	// Both hosts have the address of one endpoint: whichever is chosen first fails.
 	hosts := []fakediscovery.Host{
 		fakediscovery.Ready("s-1", endpoint.Address),
 		fakediscovery.Ready("s-2", endpoint.Address),
@@ -138,7 +138,7 @@
 	const window = 2 * time.Second // longer than a busy machine takes from the first outcome to the retry
 	dials := make(chan struct{}, 9)
 	h.dialControl = func(string, string, syscall.RawConn) error {
-		if dials <- struct{}{}; len(dials) == 2 { // the retry's, to the other name
+		if dials <- struct{}{}; len(dials) == 2 { // the dial of the retry, to the other host
 			time.Sleep(window + window/4)
 		}
 		return nil
@@ -154,17 +154,17 @@
 		t.Errorf("%d attempts were written, response %d; want 1 and 502", n, got.code)
 	}
 	if all := h.spy.statuses(); !slices.Equal(all, []balancer.Status{balancer.Error, balancer.NotSent}) {
-		t.Errorf("outcomes %v, want an error and one never sent", all)
+		t.Errorf("outcomes %v, want Error and NotSent", all)
 	}
 }
 
-// A client that disconnects ends its request: the attempt is cancelled by closing its connection, and the
-// balancer still receives its outcome, settled.
+// When a client disconnects, its attempt is cancelled by closing the attempt's connection, and the balancer
+// still receives the outcome, marked as settled.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	closed := make(chan struct{})
 	h, endpoint := startWithEndpoint(t, func(e *scriptedconn.Endpoint, _ net.Conn, in *bufio.Reader) {
 		e.Next(in)
-		_, _ = in.ReadByte() // until the sidecar closes the connection
+		_, _ = in.ReadByte() // returns once the sidecar closes the connection
 		close(closed)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -175,7 +175,7 @@
 	select {
 	case <-closed:
 	case <-time.After(wait.Timeout):
-		t.Fatal("the attempt's connection stays open")
+		t.Fatal("the connection of the cancelled attempt stays open")
 	}
 	h.waitFor("the outcome", func() bool { return len(h.spy.statuses()) == 1 })
 	h.spy.mu.Lock()
@@ -188,8 +188,8 @@
 	}
 }
 
-// A client that has closed its sending side counts as disconnected and must not receive a complete
-// response that no endpoint made.
+// A client that has closed its sending side counts as disconnected. It must not receive a complete response that
+// was not sent by an endpoint.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	h, endpoint := startWithEndpoint(t, scriptedconn.Unresponsive)
 	conn := h.dial()
@@ -206,8 +206,8 @@
 	}
 }
 
-// A response that arrives after its request has ended is reported to the balancer as settled and is not
-// delivered.
+// A response that arrives after its request has ended is reported to the balancer as settled, and is not
+// sent to the client.
 func TestLateOutcomeIsReportedAsSettled(t *testing.T) {
 	answer := make(chan struct{})
 	endpoint := scriptedconn.New(t, scriptedconn.ServedAfter(answer, nil))
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -15,8 +15,8 @@
 	"pinedale/internal/standin/testfleet"
 )
 
-// The watch continues from the known version, 0 included: without a version, discovery would send the
-// complete list at once each time and never hold the call open.
+// The watch continues from the known version, even if that is 0. Without a version, discovery would send the
+// complete list immediately each time and never hold the call open.
 func TestWatchContinuesFromKnownVersion(t *testing.T) {
 	h, _ := startServing(t)
 	h.waitFor("the waiting call", func() bool { return h.dir.CallCount() == 2 })
@@ -24,24 +24,24 @@
 	if queries[0] != "after=0&wait_ms=0" || !strings.HasPrefix(queries[1], "after=0&wait_ms=3500") {
 		t.Errorf("queries %q", queries)
 	}
-	// A change reaches the balancer; the next call asks for newer versions.
+	// A change is received by the balancer, and the next call asks for newer versions.
 	second := newServingEndpoint(t)
 	h.dir.SetHosts(7, fakediscovery.Ready("s-2", second.Address))
 	h.waitFor("the call after the change", func() bool { return h.dir.CallCount() == 3 })
 	h.waitFor("the change", func() bool { return h.spy.listCount(balancer.ListFull) == 1 })
 	if got := h.send(h.newRequest("pay", "x", 3*time.Second)); got.code != http.StatusOK {
-		t.Errorf("response %+v", got)
+		t.Errorf("after the change: response %+v, want 200", got)
 	}
 	if n := second.RequestCount(); n != 1 {
-		t.Errorf("the endpoint of the new list got %d requests, want 1", n)
+		t.Errorf("the endpoint of the new list received %d requests, want 1", n)
 	}
 	if last := h.dir.Queries()[2]; !strings.HasPrefix(last, "after=7&wait_ms=3500") {
-		t.Errorf("the query after the change: %q", last)
+		t.Errorf("the query after the change is %q, want the prefix after=7&wait_ms=3500", last)
 	}
 }
 
-// While discovery is down or sends invalid lists, the balancer is notified of it and the last list stays
-// in use; once discovery is back, its list replaces the last one.
+// While discovery is unavailable or sends invalid lists, the balancer is notified of the failures and the last list
+// stays in use. Once discovery has recovered, its list replaces the last one.
 func TestLastListServesDuringDiscoveryOutage(t *testing.T) {
 	for name, response := range map[string]string{
 		"down":          "",
@@ -59,10 +59,10 @@
 				h.dir.Down = response == ""
 				h.dir.Broken = response
 			})
-			// The open call is answered without a change; calls after it fail.
+			// The open call is answered without a change; the calls after it fail.
 			h.waitFor("the failure and one more", func() bool { return h.spy.listCount(balancer.ListFailed) >= 2 })
 			if got := h.send(h.newRequest("pay", "x", 3*time.Second)); got.code != http.StatusOK {
-				t.Errorf("without discovery: %+v", got)
+				t.Errorf("during the outage: %+v", got)
 			}
 			h.dir.Change(func() {
 				h.dir.Down = false
@@ -75,17 +75,17 @@
 			})
 			h.waitFor("the new list", func() bool { return h.spy.listCount(balancer.ListFull) >= 1 })
 			if got := h.send(h.newRequest("pay", "x", 3*time.Second)); got.code != http.StatusOK {
-				t.Errorf("with discovery back: %+v", got)
+				t.Errorf("after the outage: %+v", got)
 			}
 			if n := second.RequestCount(); n != 1 {
-				t.Errorf("the endpoint of the new list got %d requests, want 1", n)
+				t.Errorf("the endpoint of the new list received %d requests, want 1", n)
 			}
 		})
 	}
 }
 
-// Where lists are pushed the balancer does not poll: the sidecar watches its agent by itself, and starts
-// the watch again after a failure.
+// Where discovery pushes lists, the balancer does not poll: the sidecar itself watches its local agent, and
+// restarts the watch after a failure.
 func TestPushedListWatchRestartsAfterFailure(t *testing.T) {
 	first, second := newServingEndpoint(t), newServingEndpoint(t)
 	push := func(s *testfleet.SidecarSettings) { s.Discovery = testfleet.DiscoveryPushed }
@@ -112,7 +112,7 @@
 	h.launch(configure(t, h.dir.Address, nil))
 	h.waitFor("a first response", func() bool { return testfleet.Readiness(h.address) != 0 })
 	if code := testfleet.Readiness(h.address); code != http.StatusServiceUnavailable {
-		t.Errorf("without any list: %d, want 503", code)
+		t.Errorf("readiness without any list: %d, want 503", code)
 	}
 	h.dir.Change(func() {
 		h.dir.Down = false
@@ -124,12 +124,12 @@
 	})
 	h.waitFor("ready", func() bool { return testfleet.IsReady(h.address) })
 	if first := h.dir.Queries()[0]; first != "" {
-		t.Errorf("without any list the first query was %q, want none for the complete list", first)
+		t.Errorf("the first query without any list is %q, want an empty one for the complete list", first)
 	}
 }
 
-// A new configuration moves the watch to another address: its complete list is requested, and later lists
-// of the previous address are ignored. A request in flight is not affected.
+// A new configuration moves the watch to another address: the sidecar requests the complete list from there and
+// ignores later lists of the previous address. A request in flight is not affected.
 func TestReloadSwitchesDiscovery(t *testing.T) {
 	release := make(chan struct{})
 	h, first := startWithEndpoint(t, scriptedconn.ServedAfter(release, nil))
@@ -145,17 +145,17 @@
 		h.waitFor("the new list", func() bool { return h.spy.listCount(balancer.ListFull) > lists })
 	}
 	if query := moved.Queries()[0]; query != "" {
-		t.Errorf("the first query was %q, want none for the complete list", query)
+		t.Errorf("the first query to the new address is %q, want an empty one for the complete list", query)
 	}
 	h.waitFor("the new watch", func() bool { return moved.CallCount() >= 3 })
 	h.waitFor("the end of the connections to the previous address", func() bool {
 		return h.dir.OpenConns.Load() == 0
 	})
 	if got := h.send(h.newRequest("read", "", time.Minute)); got.code != http.StatusOK {
-		t.Errorf("through the new list: %+v", got)
+		t.Errorf("a request to the new list's endpoint: %+v", got)
 	}
 	if n := second.RequestCount(); n != 1 {
-		t.Errorf("the endpoint of the new list got %d requests, want 1", n)
+		t.Errorf("the endpoint of the new list received %d requests, want 1", n)
 	}
 	close(release)
 	if got := <-inFlight; got.code != http.StatusOK {
@@ -163,8 +163,8 @@
 	}
 }
 
-// An endpoint that starts to drain while a connection to it is being dialled gets nothing, and the request
-// is sent to another one.
+// An endpoint that starts to drain while a connection to it is being established receives no request; the request is
+// sent to another endpoint.
 func TestEndpointDrainingDuringDialGetsNothing(t *testing.T) {
 	first, second := newServingEndpoint(t), newServingEndpoint(t)
 	dialling, proceed := make(chan struct{}), make(chan struct{})
@@ -185,10 +185,10 @@
 	h.waitFor("the new list", func() bool { return h.spy.listCount(balancer.ListFull) == 1 })
 	close(proceed)
 	if got := <-received; got.code != http.StatusOK {
-		t.Errorf("response %+v", got)
+		t.Errorf("response %+v, want 200", got)
 	}
 	if n := first.RequestCount(); n != 0 {
-		t.Errorf("the draining endpoint got %d requests", n)
+		t.Errorf("the draining endpoint received %d requests, want none", n)
 	}
 	if all := h.settledStatuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent, balancer.OK}) {
 		t.Errorf("outcomes %v, want not sent and OK", all)
--- a/internal/sidecar/events_test.go
+++ b/internal/sidecar/events_test.go
@@ -27,7 +27,6 @@
 	choice int // of a class or a request, taken modulo their number
 }
 
-// eventKind is what happens in a step.
 type eventKind string
 
 const (
@@ -46,14 +45,14 @@
 	shutdownBegins    eventKind = "shutdown begins"
 )
 
-// drawnKinds are the kinds that a run is drawn from; those that occur twice or more are likelier.
+// drawnKinds are the kinds from which a run's events are drawn. Kinds that occur several times are more likely.
 var drawnKinds = []eventKind{
 	requestArrives, requestArrives, requestArrives, requestStarts, requestCompletes, clientDisconnects,
 	dialsPass, dialsBlock, endpointServes, endpointServes, endpointFails, endpointResets, endpointIsFull,
 	endpointDrains, sourceSwitches, shutdownBegins,
 }
 
-// eventRun is a sidecar with clients and endpoints that act only when an event says so.
+// eventRun runs a sidecar whose clients and endpoints act only on events.
 type eventRun struct {
 	*harness
 	hosts        []fakediscovery.Host
@@ -62,13 +61,13 @@
 
 	mu           sync.Mutex
 	requests     map[string]*clientRequest // by id
-	dialsPass    bool                      // else connections to endpoints are not established
+	dialsPass    bool                      // whether connections to endpoints are established or blocked
 	blockedDials []chan struct{}
 	openAttempts []*testfleet.Attempt // in the order of their arrival
 	violations   []string
 }
 
-// clientRequest is a request of a client.
+// clientRequest is a request together with the client that sent it.
 type clientRequest struct {
 	id, class    string
 	client       *testfleet.Client
@@ -77,9 +76,9 @@
 	disconnected bool
 
 	// Under eventRun.mu.
-	disconnectSeen bool // by the balancer
+	disconnectSeen bool // the balancer has been notified of the disconnect
 	attempts       int
-	mayHaveRun     int // of the attempts
+	mayHaveRun     int // number of attempts that may have run
 }
 
 // hasResponse reports whether the client has received a complete response.
@@ -95,12 +94,12 @@
 	}
 }
 
-// addViolation records an invariant that does not hold. It is called under mu, or once all has ended.
+// addViolation records an invariant that does not hold. The caller holds mu, or all goroutines of the run have ended.
 func (o *eventRun) addViolation(format string, args ...any) {
 	o.violations = append(o.violations, fmt.Sprintf(format, args...))
 }
 
-// receive records an attempt that an endpoint has received, and checks that it was permitted.
+// receive records an attempt that an endpoint has received, and checks that the attempt is permitted.
 func (o *eventRun) receive(a *testfleet.Attempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -116,7 +115,7 @@
 	o.openAttempts = append(o.openAttempts, a)
 }
 
-// respond ends the oldest open attempt with this response.
+// respond ends the oldest open attempt with the given response.
 func (o *eventRun) respond(response string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -131,8 +130,8 @@
 	a.Respond(response)
 }
 
-// setDialsPass lets connections to endpoints be established, those that are blocked and later ones, or
-// blocks later ones.
+// setDialsPass sets whether connections to endpoints are established. If pass is set, it also releases those
+// that are blocked; else only later connections are blocked.
 func (o *eventRun) setDialsPass(pass bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -146,7 +145,7 @@
 	o.blockedDials = nil
 }
 
-// blockDial makes a connection to an endpoint wait until dials pass.
+// blockDial blocks a connection to an endpoint until dials pass.
 func (o *eventRun) blockDial(string, string, syscall.RawConn) error {
 	blocked := make(chan struct{})
 	o.mu.Lock()
@@ -160,7 +159,7 @@
 	return nil
 }
 
-// disconnects returns the number of disconnects that the balancer was notified of.
+// disconnects returns the number of disconnects that the balancer has received.
 func (o *eventRun) disconnects() int {
 	count := 0
 	o.spy.record(func() {
@@ -197,7 +196,7 @@
 	_, _ = io.WriteString(client, text) // the sidecar may have ended
 }
 
-// completeRequest sends the last byte of the oldest request that lacks it.
+// completeRequest sends the last byte of the oldest incomplete request.
 func (o *eventRun) completeRequest() {
 	for _, r := range o.inOrder {
 		if !r.complete && !r.disconnected {
@@ -209,8 +208,8 @@
 	}
 }
 
-// waitReceived waits until the balancer has received all complete requests, the latest of which is r. On a
-// busy machine the read timeout may have ended r's connection before.
+// waitReceived waits until the balancer has received all complete requests, of which r is the latest. On a
+// busy machine, the read timeout may already have ended r's connection.
 func (o *eventRun) waitReceived(r *clientRequest) {
 	complete := 0
 	for _, other := range o.inOrder {
@@ -229,7 +228,7 @@
 }
 
 // disconnect closes a client's connection. If its request is in flight, it waits until the sidecar has
-// noticed: its connection has ended, unless a response was being written.
+// observed the disconnect or a response has been received.
 func (o *eventRun) disconnect(r *clientRequest) {
 	if r.disconnected {
 		return
@@ -249,7 +248,7 @@
 	r.disconnectSeen = o.disconnects() > before
 }
 
-// drain has the first endpoint drain, in a list of this version.
+// drain marks the first endpoint as draining in a list of the given version.
 func (o *eventRun) drain(version uint64) {
 	hosts := slices.Clone(o.hosts)
 	hosts[0] = fakediscovery.Draining(hosts[0].Name, hosts[0].Address)
@@ -259,13 +258,13 @@
 	o.waitFor("the list", func() bool { return o.spy.listCount(balancer.ListFull) > lists })
 }
 
-// apply performs the nth event.
+// apply performs an event. n is its index in the run, which determines the version of a changed endpoint list.
 func (o *eventRun) apply(n int, e event) {
 	classes := []string{"read", "pay", "close", "order"}
 	switch e.kind {
 	case requestArrives, requestStarts:
 		if o.shuttingDown {
-			return // it may not be accepted any more
+			return // the sidecar may no longer accept the request
 		}
 		o.sendRequest(classes[e.choice%len(classes)], e.kind == requestArrives)
 		if e.kind == requestArrives {
@@ -309,7 +308,7 @@
 		dir:         fakediscovery.New(t, o.hosts...),
 		adjustFront: func(f *httpfront.Options) {
 			f.AcceptFor = time.Millisecond
-			f.DrainTimeout = func(time.Duration) time.Duration { return wait.Timeout } // it ends once all is answered
+			f.DrainTimeout = func(time.Duration) time.Duration { return wait.Timeout } // shutdown ends once all is answered
 		},
 	}
 	o.startReady(func(s *testfleet.SidecarSettings) {
@@ -322,7 +321,7 @@
 	return o.finish()
 }
 
-// finish ends a run: blocked dials pass, open attempts are served, and the sidecar ends. It returns the
+// finish ends a run: it lets blocked dials pass, serves open attempts and stops the sidecar. It returns the
 // invariants that did not hold.
 func (o *eventRun) finish() []string {
 	o.setDialsPass(true)
@@ -342,7 +341,7 @@
 		}
 		<-r.client.Closed()
 		if codes := r.client.StatusCodes(); len(codes) != 1 {
-			o.addViolation("%s (%s) has responses %v, want one", r.id, r.class, codes)
+			o.addViolation("%s (%s) has responses %v, want exactly one", r.id, r.class, codes)
 		}
 	}
 	o.mu.Lock()
@@ -368,9 +367,9 @@
 	}
 }
 
-// Whatever the order of events, an accepted request gets one response, nothing is sent once its client is
-// known to have disconnected, a request that is not idempotent has at most one attempt that may run,
-// nothing new goes to a draining endpoint, and nothing remains at the end.
+// In any order of events, an accepted request gets exactly one response, nothing is sent once its client is
+// known to have disconnected, a request that is not idempotent has at most one attempt that may run, a
+// draining endpoint receives no new request, and the sidecar ends.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var drawn []event
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -23,7 +23,7 @@
 	"pinedale/internal/upstream/httpupstream"
 )
 
-// testSettings returns the settings of the platform's file, with a class of each kind of effect.
+// testSettings returns the settings of the platform's file, with classes of each kind of idempotency.
 func testSettings() testfleet.SidecarSettings {
 	settings := testfleet.FullSettings(3*time.Second, 5*time.Second)
 	settings.Stages = []string{"s"}
@@ -35,7 +35,7 @@
 	return settings
 }
 
-// decisionEvent is an event that the balancer is notified of.
+// decisionEvent is an event that the balancer receives.
 type decisionEvent string
 
 const (
@@ -44,7 +44,7 @@
 	clientDisconnected decisionEvent = "client disconnected"
 )
 
-// spy passes all events on to the balancer and records them.
+// spy records all events and passes them on to the balancer.
 type spy struct {
 	engine.Decider
 
@@ -88,14 +88,14 @@
 	s.record(func() { s.lists = append(s.lists, kind) })
 }
 
-// record runs f under the lock.
+// record runs f while it holds the lock.
 func (s *spy) record(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-// hasEvent reports whether the balancer was notified of an event.
+// hasEvent reports whether the balancer has received an event.
 func (s *spy) hasEvent(event decisionEvent) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return statuses
 }
 
-// listCount returns how often the balancer received a list of a kind.
+// listCount returns the number of lists of a kind that the balancer has received.
 func (s *spy) listCount(kind balancer.ListKind) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +126,7 @@
 	return count
 }
 
-// alterSettings changes the settings of a test; nil leaves them.
+// alterSettings changes the settings of a test. A nil function leaves them unchanged.
 type alterSettings func(*testfleet.SidecarSettings)
 
 // dialControl is called with each dial to an endpoint, as net.Dialer.Control.
@@ -161,7 +161,7 @@
 	return control, began, proceed
 }
 
-// configure returns a configuration whose cached list has the given hosts.
+// configure returns a configuration whose cached list contains the given hosts.
 func configure(t *testing.T, discovery string, alter alterSettings, hosts ...fakediscovery.Host) *Config {
 	t.Helper()
 	settings := testSettings()
@@ -183,13 +183,13 @@
 	return cfg
 }
 
-// start runs a sidecar whose cached list has these hosts, and waits until it is ready.
+// start runs a sidecar whose cached list contains these hosts, and waits until it is ready.
 func start(t *testing.T, alter alterSettings, hosts ...fakediscovery.Host) *harness {
 	t.Helper()
 	return startWith(t, alter, nil, hosts...)
 }
 
-// startWith is start with other options for the front.
+// startWith is like start, with adjusted options of the front.
 func startWith(
 	t *testing.T, alter alterSettings, adjustFront func(*httpfront.Options), hosts ...fakediscovery.Host,
 ) *harness {
@@ -220,7 +220,7 @@
 // isPay reports whether a request is of the class "pay".
 func isPay(r *http.Request) bool { return strings.HasPrefix(r.RequestURI, "/pay") }
 
-// startReady launches the sidecar and waits until it is ready.
+// startReady runs the sidecar and waits until it is ready.
 func (h *harness) startReady(alter alterSettings, hosts ...fakediscovery.Host) *harness {
 	h.t.Helper()
 	h.launch(configure(h.t, h.dir.Address, alter, hosts...))
@@ -259,7 +259,7 @@
 	h.run(listener, stopEngine)
 }
 
-// upstreamOptions are those of the sidecar, with the harness's control of dials.
+// upstreamOptions returns the sidecar's options with the harness's control of dials.
 func (h *harness) upstreamOptions() httpupstream.Options {
 	options := upstreamOptions(h.cfg)
 	options.Dialer.Control = h.dialControl
@@ -291,7 +291,7 @@
 	wait.Until(h.t, what, condition)
 }
 
-// waitForEnd waits until the sidecar has ended by itself.
+// waitForEnd waits until the sidecar has ended, without closing it.
 func (h *harness) waitForEnd() {
 	h.t.Helper()
 	select {
@@ -300,11 +300,11 @@
 			h.t.Errorf("the sidecar ended with %v", err)
 		}
 	case <-time.After(wait.Timeout):
-		h.t.Error("the sidecar does not end")
+		h.t.Errorf("the sidecar has not ended after %v", wait.Timeout)
 	}
 }
 
-// inEngine runs f in the engine's goroutine and waits for it.
+// inEngine runs f in the engine's goroutine and waits until f returns.
 func (h *harness) inEngine(f func()) {
 	h.t.Helper()
 	done := make(chan struct{})
@@ -315,15 +315,15 @@
 	<-done
 }
 
-// settledStatuses returns the status of each attempt whose request was answered before, and of others that have ended.
-// The engine answers a client before it notifies the balancer of the outcome, within the same event.
+// settledStatuses returns the status of each attempt that has ended, including all attempts of answered requests. The
+// engine answers a client before it notifies the balancer of the outcome, but within the same event.
 func (h *harness) settledStatuses() []balancer.Status {
 	h.t.Helper()
-	h.inEngine(func() {}) // the event of the latest answer has ended
+	h.inEngine(func() {}) // waits until the event of the latest answer has been processed
 	return h.spy.statuses()
 }
 
-// testKey is the idempotency key of all requests of classes with a key.
+// testKey is the idempotency key of all requests whose class requires one.
 const testKey = "5c0f6e1a2b3d4c59"
 
 // newRequest returns a client's request of a class.
@@ -342,7 +342,7 @@
 	return request.HTTP(h.t, h.address)
 }
 
-// requestText returns a request with a minute left, as it is written to a connection.
+// requestText returns a request with one minute left, as text to write to a connection.
 func (h *harness) requestText(class, body string) string {
 	h.t.Helper()
 	return testfleet.RequestText(h.t, h.newRequest(class, body, time.Minute))
@@ -370,7 +370,7 @@
 	}
 }
 
-// reply is a response as a client receives it.
+// reply is the response that a client receives.
 type reply struct {
 	code   int
 	header http.Header
@@ -378,7 +378,7 @@
 	err    error
 }
 
-// send sends a request on a connection of its own.
+// send sends a request on a new connection.
 func (h *harness) send(r *http.Request) reply {
 	client := http.Client{
 		Transport: &http.Transport{DisableKeepAlives: true},
--- a/internal/sidecar/rejection_test.go
+++ b/internal/sidecar/rejection_test.go
@@ -13,7 +13,7 @@
 	"pinedale/internal/standin/testfleet"
 )
 
-// An invalid request is rejected with the header and the reason, and reaches no endpoint.
+// An invalid request is rejected with a reason that names the invalid header, and is sent to no endpoint.
 func TestInvalidRequestIsRejectedWithReason(t *testing.T) {
 	endpoint := newServingEndpoint(t)
 	h := start(t, func(s *testfleet.SidecarSettings) {
@@ -78,7 +78,7 @@
 			t.Errorf("%s: got %+v (%v), want %d with %q", test.name, got, got.err, test.wantCode, test.wantBody)
 		}
 	}
-	// Late requests of other tests may arrive on this port: only those with the header count.
+	// Late requests of other tests may arrive on this port, so only requests with the header count.
 	n := endpoint.RequestCount()
 	for i := range n {
 		if r := endpoint.Request(i); r.Header.Get("X-Account") != "" {
@@ -90,11 +90,11 @@
 	r.Header.Set("X-Weight-Hint", "90000")
 	r.Header.Set("X-Session-Key", "7f3a9c21e0b4d655")
 	if got := h.send(r); got.code != http.StatusOK {
-		t.Errorf("a valid request with the largest body: %+v", got)
+		t.Errorf("a valid request with a body of the maximum size: %+v", got)
 	}
 }
 
-// The bodies in memory are bounded together: a request beyond the limit is rejected before its body is read.
+// The memory of all request bodies together is bounded. A request beyond the limit is rejected before its body is read.
 func TestRequestIsRejectedBeyondBodyLimit(t *testing.T) {
 	endpoint := newServingEndpoint(t)
 	h := startWith(t, nil, func(o *httpfront.Options) {
@@ -102,11 +102,11 @@
 	}, fakediscovery.Ready("s-1", endpoint.Address))
 	got := h.send(h.newRequest("pay", strings.Repeat("x", 21), 3*time.Second))
 	if got.code != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("beyond the limit: %+v", got)
+		t.Errorf("a request beyond the body limit: %+v", got)
 	}
-	for range 2 { // the first releases what it reserved
+	for range 2 { // the first request releases the memory that it reserved
 		if got := h.send(h.newRequest("pay", strings.Repeat("x", 20), 3*time.Second)); got.code != http.StatusOK {
-			t.Errorf("within it: %+v", got)
+			t.Errorf("a request within the body limit: %+v", got)
 		}
 	}
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// A file that is being written when the signal arrives is complete some milliseconds later. The
+	// If a file is being written when the signal arrives, the write ends within some milliseconds. The
 	// platform expects a reload to be in effect 4 s after the signal.
 	reloadRetryInterval = 50 * time.Millisecond
-	// reloadRetryTime is for how long a file that cannot be used is read again.
+	// reloadRetryTime is how long an unusable file is read again before the reload is abandoned.
 	reloadRetryTime  = 10 * time.Second
 	maxReloadRetries = int(reloadRetryTime / reloadRetryInterval)
 )
 
 // ReloadOnSignal reads the configuration file again at each signal and sends the result on the channel
-// that it returns. While the file cannot be used, the previous configuration stays in effect, one log
-// line has the reason, and the file is read again until it can be used, reloadRetryTime has passed or
-// the next signal arrives. The goroutine ends, and the channel is closed, when signals is closed. after
-// is time.After.
+// that it returns. While the file cannot be used, the previous configuration stays in effect, the reason
+// is logged once, and the file is read again until it can be used, reloadRetryTime has passed or the next
+// signal arrives. The goroutine ends, and the channel is closed, when signals is closed. Callers other
+// than tests pass time.After as after.
 func ReloadOnSignal(path string, signals <-chan os.Signal, after func(time.Duration) <-chan time.Time,
 	log *slog.Logger) <-chan *Config {
 	reloads := make(chan *Config)
@@ -34,8 +34,8 @@
 	return reloads
 }
 
-// loadWithRetries reads the file until it can be used. It returns nil if the retries are used up. A
-// signal in the meantime starts them anew.
+// loadWithRetries reads the file until it can be used. It returns nil when the retries are exhausted. A
+// further signal resets the number of retries.
 func loadWithRetries(path string, signals <-chan os.Signal, after func(time.Duration) <-chan time.Time,
 	log *slog.Logger) *Config {
 	for retries := 0; ; retries++ {
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -22,9 +22,9 @@
 	}.JSON(t)
 }
 
-// A file that is half written when the signal arrives is read again until it is complete; one log line
-// has the failure. A later signal starts the retries of an earlier one anew, and a file that cannot be
-// used for reloadRetryTime is given up.
+// A file that is half written when the signal arrives is read again until it is complete, and the failure is
+// logged once. A later signal restarts the retries of an earlier one. After reloadRetryTime without a usable
+// file, the reload is abandoned.
 func TestReloadRetriesUntilFileIsComplete(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
@@ -51,7 +51,7 @@
 	if n := log.Count("configuration reload failed"); n != 1 {
 		t.Errorf("%d lines have the failure, want 1", n)
 	}
-	// Two signals: the second while the first is retried.
+	// The second of two signals arrives while the reload of the first is retried.
 	write("{")
 	signals <- syscall.SIGHUP
 	<-waits
@@ -61,7 +61,7 @@
 	if next := <-out; next.Discovery != "127.0.0.1:8" {
 		t.Errorf("switched to %s", next.Discovery)
 	}
-	// Never complete.
+	// The file is never completed.
 	write(strings.Repeat("x", 10))
 	signals <- syscall.SIGHUP
 	for range maxReloadRetries {
--- a/internal/sidecar/requests_test.go
+++ b/internal/sidecar/requests_test.go
@@ -14,7 +14,7 @@
 	"pinedale/internal/standin/scriptedconn"
 )
 
-// Requests of every class are served, on one connection to the endpoint.
+// Requests of every class are served, and share one connection to the endpoint.
 func TestServesAndReusesConnections(t *testing.T) {
 	h, endpoint := startServing(t)
 	for _, class := range []string{"read", "pay", "close", "order"} {
@@ -31,10 +31,10 @@
 	}
 }
 
-// Whether a request is retried follows from its class and from the previous attempt's outcome. The client
-// receives one response in each case.
+// A request's class and the outcome of the previous attempt determine whether it is retried. In each case the
+// client receives exactly one response.
 func TestRetriesFollowClassAndOutcome(t *testing.T) {
-	// Each handler serves all requests but the first.
+	// Each handler serves all requests except the first.
 	reset := func(e *scriptedconn.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
 			if e.RequestCount() == 1 {
@@ -59,7 +59,7 @@
 		{"with key, after a reset", "pay", reset, 0, 200, 2},
 		{"with key, in its cell", "close", reset, 0, 200, 2},
 		{"with key, out of its cell", "close", failing, otherCell, 502, 1},
-		// The first endpoint again, the only one of its cell: a reset does not rule it out.
+		// A reset does not exclude the endpoint from the retry, so the only endpoint of the cell is chosen again.
 		{"with key, alone in its cell", "close", reset, otherCell, 200, 2},
 		{"with key, out of its cell, never ran", "close", full, otherCell, 200, 2},
 		{"not idempotent after a reset", "order", reset, 0, 502, 1},
@@ -68,7 +68,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			// Both names have the address of one endpoint: whichever is chosen, the first attempt ends as scripted.
+			// Both hosts have the address of one endpoint: whichever is chosen, the first attempt ends as scripted.
 			endpoint := scriptedconn.New(t, test.handler)
 			second := fakediscovery.Ready("s-2", endpoint.Address)
 			second.Cell = test.secondCell
@@ -102,20 +102,20 @@
 	if first.Attempt != 0 || first.Status != balancer.Full || first.Settled ||
 		second.Attempt != 1 || second.Status != balancer.OK || !second.Settled ||
 		first.ID != second.ID || first.Endpoint == second.Endpoint {
-		t.Errorf("outcomes %+v", h.spy.outcomes)
+		t.Errorf("outcomes %+v, want full and then OK, of two endpoints, the last one settled", h.spy.outcomes)
 	}
 }
 
-// A request that no endpoint accepts is answered at once, with a Retry-After.
+// A request that every endpoint rejects as full is answered immediately, with a Retry-After header.
 func TestFullEndpointIsAnsweredWithRetryAfter(t *testing.T) {
 	h, _ := startWithEndpoint(t, scriptedconn.Always(scriptedconn.Full))
 	began := time.Now()
 	got := h.send(h.newRequest("read", "", time.Minute))
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	if got.code != http.StatusServiceUnavailable || err != nil || after <= 0 || after > 1.5 {
-		t.Errorf("response %d, Retry-After %q", got.code, got.header.Get("Retry-After"))
+		t.Errorf("response %d, Retry-After %q; want 503 and 0 to 1.5", got.code, got.header.Get("Retry-After"))
 	}
 	if took := time.Since(began); took > 30*time.Second {
-		t.Errorf("the response took %v of a minute", took)
+		t.Errorf("the response took %v, want less than half of the request's minute", took)
 	}
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -15,17 +15,19 @@
 )
 
 const (
-	reservedSockets   = 32 // for discovery, logs and the runtime
-	keepAliveDivisor  = 6  // of the sockets: clients hold twice as many for requests at most
-	bodyMemoryDivisor = 8  // of the memory: this part may hold bodies of requests
+	reservedSockets = 32 // for discovery, logs and the runtime
+	// Up to 1/6 of the sockets are client connections that are kept alive. Clients may use at most twice as many
+	// more for requests in flight.
+	keepAliveDivisor  = 6
+	bodyMemoryDivisor = 8 // request bodies may use 1/8 of the memory limit
 	bytesPerMB        = 1 << 20
 )
 
-// maxConnections is how many connections clients may hold, and how many may be open to endpoints:
-// every client's request has one attempt at a time.
+// maxConnections returns the limit of client connections, which is also the limit of connections to
+// endpoints: each client request has one attempt at a time.
 func maxConnections(cfg *Config) int { return (cfg.Limits.Sockets - reservedSockets) / 2 }
 
-// upstreamOptions are what the configuration says of connections to endpoints.
+// upstreamOptions returns the configured options of connections to endpoints.
 func upstreamOptions(cfg *Config) httpupstream.Options {
 	return httpupstream.Options{
 		DialTimeout: micros(cfg.Settings.Limits.DialTimeout),
@@ -35,7 +37,7 @@
 	}
 }
 
-// frontOptions are what the configuration says of connections of clients.
+// frontOptions returns the configured options of client connections.
 func frontOptions(cfg *Config, log *slog.Logger) httpfront.Options {
 	return httpfront.Options{
 		Connections:        maxConnections(cfg),
@@ -45,7 +47,7 @@
 	}
 }
 
-// discoveryTiming is that of the calls for lists.
+// discoveryTiming returns the timing of discovery calls, which depends on whether lists are polled or pushed.
 func (c *Config) discoveryTiming() registry.Timing {
 	if c.Settings.PollDiscovery {
 		return registry.PollTiming
@@ -53,7 +55,7 @@
 	return registry.PushTiming(micros(c.Settings.Contract.DrainGrace))
 }
 
-// engineOptions are the engine's surroundings as the configuration names them.
+// engineOptions returns the engine's settings and dependencies.
 func engineOptions(cfg *Config, upstream engine.Upstream, log *slog.Logger) engine.Options {
 	return engine.Options{
 		Settings:   cfg.Settings,
@@ -90,8 +92,8 @@
 	return httpfront.New(eng, upstream, frontOptions(cfg, log)).Serve(ctx, listener)
 }
 
-// applyReloads switches to the discovery service of each new configuration, until ctx ends. All else
-// stays as it was at the start.
+// applyReloads switches to the discovery service of each new configuration until ctx ends. Other changes to
+// the configuration have no effect until a restart.
 func applyReloads(ctx context.Context, eng *engine.Engine, cfg *Config, reloads <-chan *Config, log *slog.Logger) {
 	for {
 		select {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -17,8 +17,8 @@
 )
 
 // Every request in flight at shutdown is answered before the process ends, whatever its deadline: it is
-// rejected if a retry is safe, else it fails. So is a request that arrives during shutdown on a connection
-// that was opened before it.
+// rejected if a retry is safe, else it fails. The same holds for a request that arrives during shutdown on a
+// connection that was opened before.
 func TestShutdownAnswersEveryRequest(t *testing.T) {
 	endpoint := scriptedconn.New(t, scriptedconn.Unresponsive)
 	end := make(chan time.Duration, 1)
@@ -41,7 +41,7 @@
 	began := time.Now()
 	h.stop()
 	if longest := <-end; longest != 3*time.Second {
-		t.Errorf("the longest deadline is %v", longest)
+		t.Errorf("the longest deadline is %v, want 3s", longest)
 	}
 	h.mustWrite(early, h.requestText("order", "x"))
 	response, err := http.ReadResponse(bufio.NewReader(early), nil)
@@ -57,12 +57,12 @@
 		}
 	}
 	if took := time.Since(began); took > 30*time.Second {
-		t.Errorf("the responses took %v of a minute", took)
+		t.Errorf("the responses took %v, want less than half of the requests' minute", took)
 	}
 	h.waitForEnd()
 }
 
-// Lists are still watched during shutdown: an endpoint that starts to drain then gets no new request.
+// Endpoint lists are still watched during shutdown: an endpoint that starts to drain then receives no new request.
 func TestDrainingEndpointGetsNothingDuringShutdown(t *testing.T) {
 	first, second := newServingEndpoint(t), newServingEndpoint(t)
 	h := startWith(t, nil, func(o *httpfront.Options) {
@@ -85,12 +85,12 @@
 		}
 	}
 	if n := first.RequestCount(); n != 0 || len(h.settledStatuses()) != before+5 {
-		t.Errorf("the draining endpoint got %d requests", n)
+		t.Errorf("the draining endpoint received %d requests, want none, and an outcome of each of 5 requests", n)
 	}
 }
 
 // After SIGTERM, accepted requests are answered, idle connections are closed, new connections are still
-// accepted for a while, and the sidecar ends without an error.
+// accepted for a limited time, and the sidecar ends without an error.
 func TestSIGTERMAnswersOpenRequests(t *testing.T) {
 	answer := make(chan struct{})
 	endpoint := scriptedconn.New(t, scriptedconn.ServedAfter(answer, isPay))
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v, want its end", err)
+		t.Errorf("read on the idle connection: %v, want EOF", err)
 	}
 	// New connections are still served, one request each.
 	conn := h.dial()
