--- a/cmd/pinedale-register/commandline_test.go
+++ b/cmd/pinedale-register/commandline_test.go
@@ -15,7 +15,7 @@
 	"pinedale/internal/cli"
 )
 
-// parse parses a command line, but for "completion", and returns the arguments after the flags.
+// parse parses any command line other than that of "completion", and returns the arguments after the flags.
 func parse(t *testing.T, args []string) (root *cobra.Command, command []string) {
 	t.Helper()
 	root = rootCommand(args)
@@ -32,8 +32,8 @@
 	return root, command
 }
 
-// Command lines of releases that parsed them with package flag, which took everything from the first argument on as
-// arguments.
+// Command lines that operators wrote for earlier releases, which used package flag: long flags have one dash, and
+// everything from the first argument on is an argument.
 func TestCommandLinesWithOneDashFlagsStillWork(t *testing.T) {
 	for _, c := range []struct {
 		args    string
@@ -72,7 +72,9 @@
 }
 
 func TestInvalidFlagsExitWithTwoAfterUsage(t *testing.T) {
-	parts := []string{"\nusage: pinedale-register -servers ", "--grace duration", "pinedale-register: see above\n"}
+	parts := []string{
+		"\nusage: pinedale-register -servers ", "--grace duration", "pinedale-register: invalid command line\n",
+	}
 	for _, args := range [][]string{{"-what"}, {"-pod", "x"}, {"-name"}, {"--what", "server"}} {
 		c := program(args...)
 		var stderr bytes.Buffer
--- a/cmd/pinedale-register/main.go
+++ b/cmd/pinedale-register/main.go
@@ -1,5 +1,5 @@
-// Command pinedale-register keeps a server's ephemeral node alive beside it: it starts the server, registers it once
-// it listens, and on SIGTERM removes the node first, so that no new requests come when the server ends.
+// Command pinedale-register runs beside a server and maintains its ephemeral node: it starts the server, registers it
+// once it listens, and on SIGTERM removes the node first, so that clients stop sending requests before the server ends.
 package main
 
 import (
--- a/cmd/pinedale-register/main_test.go
+++ b/cmd/pinedale-register/main_test.go
@@ -17,7 +17,7 @@
 	"pinedale/internal/standin/wait"
 )
 
-// The programs that the test binary runs.
+// Names of the programs that the test binary runs.
 const (
 	programName = "pinedale-register"
 	serverName  = "server" // listens at the address in serverAddressVariable
@@ -34,7 +34,7 @@
 // exitTimeout is how long the program may take to end.
 const exitTimeout = time.Minute
 
-// Names in ZooKeeper.
+// Paths in ZooKeeper.
 const (
 	directory = "/soko"
 	nodePath  = directory + "/s-1"
@@ -57,10 +57,10 @@
 	os.Exit(exitTerminated)
 }
 
-// program returns a command that runs the program.
+// program returns a command that runs pinedale-register with these arguments.
 func program(args ...string) *exec.Cmd { return testfleet.Command(programName, args...) }
 
-// registerCommand returns a command that keeps the node of a server, and runs the server.
+// registerCommand returns a command that maintains the node of a server and, if args contain a command, runs it.
 func registerCommand(service *fakezookeeper.Service, address, session string, args ...string) *exec.Cmd {
 	flags := []string{
 		"-servers", service.Addresses()[0],
@@ -77,8 +77,8 @@
 	wait.Until(t, "the node", func() bool { return service.Owner(nodePath) != 0 })
 }
 
-// The server is registered once it listens. On SIGTERM its node is removed first, it serves until the grace period is
-// over, and the program ends with the server's exit code.
+// The server is registered once it listens. On SIGTERM its node is removed first, the server continues until the grace
+// period is over, and the program exits with the server's exit code.
 func TestSIGTERMRemovesNodeBeforeServerEnds(t *testing.T) {
 	service := fakezookeeper.New(t, 1)
 	address := ports.MustFree(t)
@@ -86,10 +86,10 @@
 		"/usr/bin/env", testfleet.ProgramVariable+"="+serverName, serverAddressVariable+"="+address, os.Args[0]))
 	waitForNode(t, service)
 	process.Signal(syscall.SIGTERM)
-	wait.Until(t, "the end of the node", func() bool { return service.Owner(nodePath) == 0 })
+	wait.Until(t, "the removal of the node", func() bool { return service.Owner(nodePath) == 0 })
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		t.Errorf("the server does not serve after the end of its node: %v", err)
+		t.Errorf("the server does not accept connections after the removal of its node: %v", err)
 	} else {
 		conn.Close()
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-// A server that ends by itself loses its node at once, long before its session would expire.
+// The node of a server that ends by itself is removed at once, long before its session would expire.
 func TestServerExitRemovesNode(t *testing.T) {
 	service := fakezookeeper.New(t, 1)
 	listener, err := net.Listen("tcp", "127.0.0.1:0") // in place of the server
@@ -112,7 +112,7 @@
 	if err := process.Wait(exitTimeout); process.ExitCode() != 3 {
 		t.Errorf("the program ended with %v, want exit code 3", err)
 	}
-	wait.Until(t, "the end of the node", func() bool { return len(service.Children(directory)) == 0 })
+	wait.Until(t, "the removal of the node", func() bool { return len(service.Children(directory)) == 0 })
 }
 
 func TestInvalidArgumentsAreReported(t *testing.T) {
--- a/cmd/pinedale-register/root.go
+++ b/cmd/pinedale-register/root.go
@@ -14,21 +14,21 @@
 	"pinedale/internal/membership/register"
 )
 
-// useLine is the program's name and arguments.
+// useLine is the usage line of the program.
 const useLine = "pinedale-register -servers HOST:PORT,... -path DIR -name NAME -address HOST:PORT " +
 	"[FLAGS] [-- COMMAND ARG...]"
 
-// description is printed by help.
+// description is the text of the program's help.
 const description = `Start a server, register its ephemeral node once it listens, and on SIGTERM remove the node first,
-so that no new requests come when the server ends. Without a command it only keeps the node.`
+so that no new requests arrive when the server ends. Without a command, only maintain the node.`
 
 // completionCommand is the name of cobra's command that prints completion scripts.
 const completionCommand = "completion"
 
-// exitUsage is the exit code after an error of the flags.
+// exitUsage is the exit code after invalid flags.
 const exitUsage = 2
 
-// The defaults of flags.
+// Defaults of flags.
 const (
 	defaultPath           = "/soko"
 	defaultShare          = 1
@@ -43,14 +43,14 @@
 	servers       string // addresses of the service, separated by commas
 	digestFile    string
 	listenTimeout time.Duration
-	grace         time.Duration // between the node's removal and the server's end
-	command       []string      // starts the server; empty if another program does
+	grace         time.Duration // between the removal of the node and the end of the server
+	command       []string      // starts the server; empty if another program starts it
 }
 
-// rootCommand returns the command line of the program, which is given args.
+// rootCommand returns the root command. args are the command line of the program.
 func rootCommand(args []string) *cobra.Command {
 	opts := &options{}
-	root := cli.NewRoot(useLine, "keep a server's ephemeral node alive beside it", os.Stdout)
+	root := cli.NewRoot(useLine, "maintain the ephemeral node of a server that runs beside it", os.Stdout)
 	root.Long = description
 	root.DisableFlagsInUseLine = true
 	root.Args = cobra.ArbitraryArgs
@@ -74,26 +74,26 @@
 	flags.StringVar(&opts.servers, "servers", "", "`addresses` of the coordination service, separated by commas")
 	flags.StringVar(&registration.Path, "path", defaultPath, "`directory` of the nodes")
 	flags.StringVar(&registration.Name, "name", "", "`name` of this server, the same after a restart")
-	flags.StringVar(&node.Address, "address", "", "`host:port` where the server takes requests")
+	flags.StringVar(&node.Address, "address", "", "`host:port` where the server accepts requests")
 	flags.StringVar(&node.Site, "site", "", "`site` of the server")
 	flags.StringVar(&node.Kind, "kind", "", "`kind` of machine")
 	flags.IntVar(&node.Cell, "pod", 0, "`number` of the pod that the server belongs to")
 	flags.Float64Var(&node.Weight, "share", defaultShare, "`weight` of the server's share of requests")
 	flags.DurationVar(&registration.SessionTimeout, "session", defaultSessionTimeout,
-		"session timeout: the node goes if the service hears nothing for so long")
+		"session timeout: the service removes the node if it receives nothing for this long")
 	flags.StringVar(&opts.digestFile, "digest-file", "", "`file` with user:password")
-	flags.DurationVar(&opts.listenTimeout, "wait", defaultListenTimeout, "how long the server may take to listen")
+	flags.DurationVar(&opts.listenTimeout, "wait", defaultListenTimeout, "how long to wait for the server to listen")
 	flags.DurationVar(&opts.grace, "grace", defaultGrace,
-		"time between the node's removal and the server's end: the drain rule")
+		"drain time between the removal of the node and the end of the server")
 }
 
-// flagError prints an error of the flags and the usage, and returns the error that ends the program.
+// flagError prints an error about the flags and the usage, and returns the error that ends the program.
 func flagError(cmd *cobra.Command, err error) error {
 	fmt.Fprintf(cmd.ErrOrStderr(), "%v\nusage: %s\n\n%s", err, cmd.UseLine(), cmd.LocalFlags().FlagUsages())
-	return &cli.ExitError{Code: exitUsage, Err: errors.New("see above")}
+	return &cli.ExitError{Code: exitUsage, Err: errors.New("invalid command line")}
 }
 
-// run completes the options, and keeps the node until the server or the program is to end.
+// run completes the options and maintains the node until the server or the program ends.
 func run(opts *options) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	registration := &opts.registration
--- a/cmd/pinedale-register/supervisor.go
+++ b/cmd/pinedale-register/supervisor.go
@@ -16,10 +16,10 @@
 	"pinedale/internal/membership/register"
 )
 
-// dialInterval is the time between two attempts to connect to a server that does not listen yet.
+// dialInterval is the delay between two connection attempts to a server that does not listen yet.
 const dialInterval = 50 * time.Millisecond
 
-// supervisor runs a server and its registration. The goroutine of run owns both and waits for them.
+// supervisor runs a server and its registration. The goroutine that calls run owns both and waits for them.
 type supervisor struct {
 	options   *options
 	log       *slog.Logger
@@ -31,8 +31,8 @@
 	cancelRegistration context.CancelFunc
 }
 
-// run starts the server and its registration, and returns once both have ended. A server that ends with an exit code
-// becomes a *cli.ExitError with that code.
+// run starts the server and its registration, and returns once both have ended. If the server ends with an exit code
+// other than 0, the error is a *cli.ExitError with that code.
 func (s *supervisor) run() error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -46,14 +46,14 @@
 		return exitError(s.server.err)
 	case <-s.registration.ended:
 		s.cancelRegistration()
-		_ = s.stopServer() // the registration's error ends the program
+		_ = s.stopServer() // ignored: the program ends with the registration's error
 		return &cli.ExitError{Code: 1, Err: s.registration.err}
 	case <-signals:
 		return s.drain()
 	}
 }
 
-// startServer starts the server if the options have a command for it.
+// startServer starts the server if the options contain a command for it.
 func (s *supervisor) startServer() error {
 	s.server = &task{}
 	if len(s.options.command) == 0 {
@@ -70,17 +70,18 @@
 	return nil
 }
 
-// stopServer asks the server to end and returns how it ended. It does nothing if another program runs the server.
+// stopServer sends SIGTERM to the server, waits for its end and returns its error. It does nothing if another program
+// runs the server.
 func (s *supervisor) stopServer() error {
 	if s.command == nil {
 		return nil
 	}
-	_ = s.command.Process.Signal(syscall.SIGTERM) // it may have ended
+	_ = s.command.Process.Signal(syscall.SIGTERM) // fails only if the server has already ended
 	<-s.server.ended
 	return s.server.err
 }
 
-// startRegistration registers the server once it listens, and again whenever its session is lost.
+// startRegistration registers the server once it listens, and registers it again after each loss of its session.
 func (s *supervisor) startRegistration() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancelRegistration = cancel
@@ -92,13 +93,13 @@
 	})
 }
 
-// endRegistration closes the session, which removes the node at once.
+// endRegistration closes the session, which removes the node immediately.
 func (s *supervisor) endRegistration() {
 	s.cancelRegistration()
 	<-s.registration.ended
 }
 
-// drain removes the node, lets the server serve for the grace period, and stops it.
+// drain removes the node, lets the server continue for the grace period, and stops it.
 func (s *supervisor) drain() error {
 	if err := s.registrar.Drain(); err != nil {
 		s.log.Warn("registration", "error", err)
@@ -109,7 +110,7 @@
 	return exitError(err)
 }
 
-// exitError returns an error with the exit code of a command that ended with err. Any other error stays as it is.
+// exitError returns an error with the exit code of a command that ended with err. It returns any other error unchanged.
 func exitError(err error) error {
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -136,13 +137,13 @@
 	}
 }
 
-// task is a function that runs in a goroutine of its own.
+// task is a function that runs in its own goroutine.
 type task struct {
-	ended chan struct{} // closed once the function has returned; nil if there is none
+	ended chan struct{} // closed once the function has returned; nil if no function was started
 	err   error         // its result; valid after ended
 }
 
-// startTask runs a function in a goroutine.
+// startTask runs a function in a new goroutine.
 func startTask(function func() error) *task {
 	t := &task{ended: make(chan struct{})}
 	go func() {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli holds what the programs of this repository that use cobra share: a root command with the same
-// conventions, exit codes, and the one-dash flags of earlier releases.
+// Package cli contains what this repository's cobra programs have in common: the conventions of the root command,
+// exit codes, and support for the one-dash flags of earlier releases.
 package cli
 
 import (
@@ -11,19 +11,19 @@
 	"github.com/spf13/cobra"
 )
 
-// exitFailure is the exit code after an error that has no code of its own.
+// exitFailure is the exit code for any error that is not an ExitError.
 const exitFailure = 1
 
-// ErrNoCommand is wrapped by the error of a root command, which does nothing by itself.
-var ErrNoCommand = errors.New("a command is missing")
+// ErrNoCommand is wrapped by the error of a root command that is run without a subcommand.
+var ErrNoCommand = errors.New("missing command")
 
-// ExitError ends a program with a code of its own.
+// ExitError ends a program with a specific exit code.
 type ExitError struct {
 	Code int
 	Err  error // what Execute prints; nil if there is nothing to print
 }
 
-// Error returns the text of the error below, or else the exit code.
+// Error returns the text of the wrapped error, or the exit code if there is none.
 func (e *ExitError) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("exit code %d", e.Code)
@@ -31,11 +31,12 @@
 	return e.Err.Error()
 }
 
-// Unwrap returns the error below.
+// Unwrap returns the wrapped error.
 func (e *ExitError) Unwrap() error { return e.Err }
 
-// NewRoot returns the root command of a program, to which the caller adds commands. It prints help to out and leaves
-// errors to Execute. Without a command it fails with ErrNoCommand and its usage. It has cobra's command "completion".
+// NewRoot returns the root command of a program, to which the caller adds subcommands. It prints help to out and leaves
+// errors to Execute. Without a subcommand it fails with ErrNoCommand and prints its usage. Cobra adds the subcommand
+// "completion".
 func NewRoot(name, short string, out io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use:           name,
@@ -52,7 +53,7 @@
 }
 
 // Execute runs the command that args select, after Normalize, and returns the exit code of the program: 0 for
-// success, that of an ExitError, or 1 for any other error. It prints an error to stderr as "program: error".
+// success, the code of an ExitError, or 1 for any other error. It prints an error to stderr as "program: error".
 func Execute(ctx context.Context, root *cobra.Command, args []string, stderr io.Writer) int {
 	root.SetErr(stderr)
 	root.SetArgs(Normalize(root, args))
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	EndFlagsAtFirstArgument(wrap)
-	failing := &cobra.Command{Use: "fail", RunE: func(*cobra.Command, []string) error { return errors.New("it failed") }}
+	failing := &cobra.Command{Use: "fail", RunE: func(*cobra.Command, []string) error { return errors.New("disk full") }}
 	root.AddCommand(play, wrap, failing)
 	return root
 }
@@ -69,7 +69,7 @@
 		{"-config f play -sockets", "--config f play --sockets"},
 		{"play -config -sockets", "play --config -sockets"},
 		{"-config play play -sockets", "--config play play --sockets"},
-		{"wrap -sockets", "wrap --sockets"}, // a flag of another command
+		{"wrap -sockets", "wrap --sockets"}, // -sockets is a flag of another command
 		{"wrap -name a server -name b", "wrap --name a server -name b"},
 		{"wrap -name a -- server -name b", "wrap --name a -- server -name b"},
 		{"play wrap -name", "play wrap --name"},
@@ -114,9 +114,9 @@
 
 func TestExecutePrintsErrorsAfterProgramNameAndReturnsOne(t *testing.T) {
 	for _, c := range []struct{ args, want string }{
-		{"", "program: a command is missing\nUsage:"},
+		{"", "program: missing command\nUsage:"},
 		{"stop", `program: unknown command "stop" for "program"`},
-		{"fail", "program: it failed\n"},
+		{"fail", "program: disk full\n"},
 		{"play -offset never", `program: invalid argument "never" for "--offset" flag`},
 		{"play -unknown", "program: unknown shorthand flag: 'u' in -unknown\n"},
 	} {
@@ -129,14 +129,14 @@
 }
 
 func TestExecuteReturnsCodeOfExitError(t *testing.T) {
-	cause := errors.New("it failed")
+	cause := errors.New("disk full")
 	for _, c := range []struct {
 		err  error
 		want string
 	}{
 		{&ExitError{Code: 7}, ""},
-		{&ExitError{Code: 7, Err: cause}, "program: it failed\n"},
-		{fmt.Errorf("server: %w", &ExitError{Code: 7, Err: cause}), "program: server: it failed\n"},
+		{&ExitError{Code: 7, Err: cause}, "program: disk full\n"},
+		{fmt.Errorf("server: %w", &ExitError{Code: 7, Err: cause}), "program: server: disk full\n"},
 	} {
 		root := newProgram(io.Discard)
 		root.AddCommand(&cobra.Command{Use: "exit", RunE: func(*cobra.Command, []string) error { return c.err }})
@@ -145,11 +145,11 @@
 			t.Errorf("%v: exit code %d, printed %q, want 7 and %q", c.err, code, stderr.String(), c.want)
 		}
 	}
-	if err := (&ExitError{Code: 7, Err: cause}); !errors.Is(err, cause) || err.Error() != "it failed" {
-		t.Errorf("an exit error hides its cause: %v", err)
+	if err := (&ExitError{Code: 7, Err: cause}); !errors.Is(err, cause) || err.Error() != "disk full" {
+		t.Errorf("an ExitError does not wrap its cause: %v", err)
 	}
 	if text := (&ExitError{Code: 7}).Error(); text != "exit code 7" {
-		t.Errorf("an exit error without a cause reads %q", text)
+		t.Errorf("an ExitError without a cause has the text %q", text)
 	}
 }
 
@@ -177,6 +177,6 @@
 	root := NewRoot("program", "a program to test with", io.Discard)
 	root.AddCommand(&cobra.Command{Use: "wait", Run: func(cmd *cobra.Command, _ []string) { passed = cmd.Context() }})
 	if code := Execute(ctx, root, []string{"wait"}, io.Discard); code != 0 || passed != ctx {
-		t.Errorf("exit code %d, the command got %v, want the context of the call", code, passed)
+		t.Errorf("exit code %d, the command received context %v, want the one passed to Execute", code, passed)
 	}
 }
--- a/internal/cli/imports_test.go
+++ b/internal/cli/imports_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The programs that the platform runs parse no command line of an operator.
+// The programs that the platform runs have no command line, so they must not link the command line libraries.
 func TestPlatformProgramsDoNotLinkCobra(t *testing.T) {
 	for _, program := range []string{"pinedale/cmd/pinedale", "pinedale/cmd/simhost"} {
 		out, err := exec.Command("go", "list", "-deps", program).Output()
--- a/internal/cli/normalize.go
+++ b/internal/cli/normalize.go
@@ -10,11 +10,11 @@
 // endOfFlags is the argument after which no argument is a flag.
 const endOfFlags = "--"
 
-// argumentsEndFlags is the annotation of a command whose flags end at its first argument.
+// argumentsEndFlags is the annotation of a command that parses no flags after its first argument.
 const argumentsEndFlags = "pinedale/cli/arguments-end-flags"
 
-// EndFlagsAtFirstArgument lets a command take everything from its first argument on as arguments, as package flag
-// does. A command needs this if its arguments are the command line of another program.
+// EndFlagsAtFirstArgument makes a command treat its first argument and everything after it as arguments, as package
+// flag does. A command whose arguments are the command line of another program needs this.
 func EndFlagsAtFirstArgument(command *cobra.Command) {
 	command.Flags().SetInterspersed(false)
 	if command.Annotations == nil {
@@ -23,15 +23,15 @@
 	command.Annotations[argumentsEndFlags] = "true"
 }
 
-// Normalize returns args with two dashes in front of each long flag that has one: "-name" becomes "--name" and
-// "-name=value" becomes "--name=value".
+// Normalize returns args with two dashes in front of each long flag that is written with one: "-name" becomes "--name"
+// and "-name=value" becomes "--name=value".
 //
-// Programs that parsed their flags with package flag take one dash or two. Cobra takes "-name" for the shorthands n, a,
-// m and e. Operators' scripts use one dash; Normalize keeps them working.
+// Earlier releases used package flag, which accepts one dash or two, and operators' scripts use one. Cobra would parse
+// "-name" as the shorthands n, a, m and e.
 //
-// A name counts if it is a long flag of the command that args select, of a command above it, or else of any command
-// below root. A single letter that is a shorthand of the command remains one. Values of flags, such as "-5s" in
-// "-offset -5s", arguments, everything after "--" and a shell's request for completion remain as they are.
+// A name is recognized if it is a long flag of the command that args select, of one of its parents, or else of any
+// command of root. A single letter that is a shorthand of the command remains a shorthand. Values of flags, such as
+// "-5s" in "-offset -5s", arguments, everything after "--" and a shell's completion request are returned unchanged.
 func Normalize(root *cobra.Command, args []string) []string {
 	normalized := make([]string, 0, len(args))
 	if len(args) > 0 && isCompletionRequest(args[0]) {
@@ -41,7 +41,7 @@
 	n.selectCommand(root)
 	for len(args) > 0 {
 		if !isFlag(args[0]) {
-			n.argument(args[0])
+			n.consumeArgument(args[0])
 		}
 		if args[0] == endOfFlags || n.flagsEnded {
 			return append(normalized, args...)
@@ -57,17 +57,17 @@
 	return normalized
 }
 
-// isCompletionRequest reports whether a shell runs the program for candidates, not the user for an effect.
+// isCompletionRequest reports whether argument is the hidden command by which shells request completions from cobra.
 func isCompletionRequest(argument string) bool {
 	return argument == cobra.ShellCompRequestCmd || argument == cobra.ShellCompNoDescRequestCmd
 }
 
-// isFlag reports whether an argument in the place of a flag is one. A dash alone is an argument.
+// isFlag reports whether an argument that is not the value of a flag is a flag. A single dash is not.
 func isFlag(argument string) bool {
 	return len(argument) > 1 && argument[0] == '-'
 }
 
-// normalizer follows the arguments as cobra does.
+// normalizer tracks the state of cobra's parser while it reads the arguments.
 type normalizer struct {
 	root       *cobra.Command
 	command    *cobra.Command // selected by the arguments so far
@@ -75,7 +75,7 @@
 	flagsEnded bool           // whether only arguments follow
 }
 
-// selectCommand selects a command, with the flags that cobra adds to it when it runs.
+// selectCommand selects a command and adds the flags that cobra would add when it runs the command.
 func (n *normalizer) selectCommand(command *cobra.Command) {
 	command.InitDefaultHelpFlag()
 	command.InitDefaultVersionFlag()
@@ -83,8 +83,9 @@
 	n.flagsEnded = command.DisableFlagParsing
 }
 
-// argument follows an argument that is no flag: it names a subcommand, or is passed to the command.
-func (n *normalizer) argument(argument string) {
+// consumeArgument processes an argument that is not a flag: it selects a subcommand or is passed to the selected
+// command.
+func (n *normalizer) consumeArgument(argument string) {
 	if n.selecting {
 		for _, child := range n.command.Commands() {
 			if child.Name() == argument || child.HasAlias(argument) {
@@ -127,7 +128,7 @@
 }
 
 // shorthandsTakeNextArgument reports whether the last of several shorthands takes the next argument as its value. The
-// first one that has a value takes the letters after it, if there are any.
+// first shorthand that needs a value takes the letters after it, if there are any.
 func (n *normalizer) shorthandsTakeNextArgument(letters string) bool {
 	for i := range len(letters) {
 		flag := n.shorthand(letters[i : i+1])
@@ -141,8 +142,8 @@
 	return false
 }
 
-// longFlag returns the flag of a text "name" or "name=value": that of the selected command or of one above it, or else
-// of the first command below root that has one.
+// longFlag returns the flag of a text "name" or "name=value": the flag of the selected command or of one of its
+// parents, or else of the first command below root that has it.
 func (n *normalizer) longFlag(text string) *pflag.Flag {
 	name, _, _ := strings.Cut(text, "=")
 	if flag := n.command.Flag(name); flag != nil {
@@ -151,7 +152,7 @@
 	return findFlag(n.root, name)
 }
 
-// shorthand returns the flag with a shorthand at the selected command or one above it.
+// shorthand returns the flag with a shorthand of the selected command or one of its parents.
 func (n *normalizer) shorthand(letter string) *pflag.Flag {
 	if flag := n.command.Flags().ShorthandLookup(letter); flag != nil {
 		return flag
@@ -159,7 +160,7 @@
 	return n.command.InheritedFlags().ShorthandLookup(letter)
 }
 
-// findFlag returns the flag of a name at a command or one below it, or nil.
+// findFlag returns the flag with a name of a command or one of its subcommands, nil if there is none.
 func findFlag(command *cobra.Command, name string) *pflag.Flag {
 	if flag := command.Flag(name); flag != nil {
 		return flag
--- a/internal/tomlfile/duration.go
+++ b/internal/tomlfile/duration.go
@@ -22,9 +22,9 @@
 // Microseconds returns the duration in microseconds.
 func (d Duration) Microseconds() int64 { return time.Duration(d).Microseconds() }
 
-// addDurationKeys adds the keys of all fields of type Duration to keys, without indexes of arrays. prefix is the key
-// of a value of the given type, "" for the file. The keys are needed because the TOML library accepts a number without
-// a unit for a Duration, as nanoseconds.
+// addDurationKeys adds the keys of all fields of type Duration to keys, without array indexes. prefix is the key of a
+// value of the given type, "" for the file. The keys are needed because the TOML library accepts a number without a
+// unit for a Duration and takes it as nanoseconds.
 func addDurationKeys(valueType reflect.Type, prefix string, keys map[string]bool) {
 	for valueType.Kind() == reflect.Pointer || valueType.Kind() == reflect.Slice {
 		valueType = valueType.Elem()
--- a/internal/tomlfile/file.go
+++ b/internal/tomlfile/file.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// File collects the errors and warnings that are found in a decoded file.
+// File collects the errors and warnings about a decoded file.
 type File struct {
-	lines    map[string]int // of keys and tables, by complete key
+	lines    map[string]int // of keys and tables, by complete key, such as "class[1].deadline"
 	errs     []*Error
 	warnings []*Error
 }
@@ -54,8 +54,8 @@
 	return f.warnings
 }
 
-// line returns the line of a key. If the key is not in the file, it returns the line of the innermost table of the key
-// that is, 0 if there is none.
+// line returns the line of a key. If the file lacks the key, it returns the line of the innermost table of the key
+// that the file contains, or 0 if there is none.
 func (f *File) line(key string) int {
 	for {
 		if line := f.lines[key]; line != 0 {
--- a/internal/tomlfile/positions.go
+++ b/internal/tomlfile/positions.go
@@ -14,15 +14,15 @@
 	numbers map[string]string // values that are numbers, as written
 }
 
-// locateKeys returns the positions of all keys and tables of a file, up to the first syntax error, which the decoder
-// reports.
+// locateKeys returns the positions of all keys and tables of a file. It stops at the first syntax error, which the
+// decoder reports.
 func locateKeys(data []byte) positions {
 	found := positions{lines: map[string]int{}, numbers: map[string]string{}}
 	arrayLengths := map[string]int{}
 	var parser unstable.Parser
 	parser.Reset(data)
 	counter := lineCounter{data: data, line: 1}
-	table := "" // prefix of the keys that follow, with a dot at its end
+	table := "" // prefix of the keys that follow, with a trailing dot
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		key := counter.readKey(expression)
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// shop is the content of a file in these tests.
+// shop is the struct that these tests decode files into.
 type shop struct {
 	Name    string   `toml:"name"`
 	Timeout Duration `toml:"timeout"`
@@ -63,12 +63,12 @@
 		}
 		var typed *Error
 		if !errors.As(err, &typed) {
-			t.Errorf("%s: %T is no *Error", name, err)
+			t.Errorf("%s: the error is a %T, want an *Error", name, err)
 		}
 	}
 }
 
-// Errors and warnings that the caller records are in the order of lines. A missing key has the line of its table.
+// Errors and warnings that the caller records are sorted by line. A missing key has the line of its table.
 func TestRecordedErrorsAreSortedByLine(t *testing.T) {
 	var decoded shop
 	const text = `name = "a"
@@ -86,7 +86,7 @@
 		t.Errorf("timeout %v", decoded.Timeout)
 	}
 	if !file.Valid() || file.Err() != nil {
-		t.Errorf("errors before a check: %v", file.Err())
+		t.Errorf("error %v before any check", file.Err())
 	}
 	file.Positive("stall[1].wait", decoded.Stalls[1].Wait)
 	file.Require(decoded.Name == "b", "name", "%q is not b", decoded.Name)
@@ -96,11 +96,11 @@
 	const want = `line 1: name: "a" is not b
 line 5: stall[1].wait: 0s is not positive`
 	if err := file.Err(); err == nil || err.Error() != want || file.Valid() {
-		t.Errorf("%v, want %s", err, want)
+		t.Errorf("error %v, want %s", err, want)
 	}
 	warnings := file.Warnings()
 	if len(warnings) != 2 || warnings[0].Line != 1 || warnings[1].Line != 4 {
-		t.Errorf("warnings %v", warnings)
+		t.Errorf("warnings %v, want one for line 1 and one for line 4", warnings)
 	}
 }
 
@@ -114,13 +114,13 @@
 		t.Fatal(err)
 	}
 	if string(text) != "1.5s" {
-		t.Errorf("formatted as %s", text)
+		t.Errorf("formatted as %s, want 1.5s", text)
 	}
 }
 
 func TestDurationRejectsTextWithoutNumber(t *testing.T) {
 	var duration Duration
 	if err := duration.UnmarshalText([]byte("soon")); err == nil {
-		t.Errorf("parsed as %v", duration)
+		t.Errorf("the text was parsed as %v, want an error", duration)
 	}
 }
