--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -9,20 +9,20 @@
 	"pinedale/internal/wire"
 )
 
-// host runs the instances of one process. They share nothing but its buffers.
+// host runs the instances of one process. Instances share only the host's buffers.
 type host struct {
 	decoder         wire.Decoder
 	reply           wire.Reply
 	instances       map[uint32]*instance
-	unknownReported [256]bool // by code
+	unknownReported [256]bool // by event code
 	stderr          io.Writer
 
-	// The instance of the following events of a batch.
+	// The instance that receives the next events of the batch.
 	selected    uint32
 	hasSelected bool
 }
 
-// run answers batches until the end of input.
+// run replies to batches until the end of input.
 func run(in io.Reader, out, stderr io.Writer) error {
 	h := &host{instances: map[uint32]*instance{}, stderr: stderr}
 	var frame []byte
@@ -44,7 +44,7 @@
 	}
 }
 
-// handleBatch passes the events of a frame to their instances, and collects the reply.
+// handleBatch passes the events of a frame to their instances and builds the reply.
 func (h *host) handleBatch(frame []byte) error {
 	batch, now, err := h.decoder.Reset(frame)
 	if err != nil {
@@ -71,7 +71,7 @@
 func (h *host) handleEvent(now balancer.Micros, event *wire.Event) error {
 	switch {
 	case event.Code == wire.Manifest:
-		return nil // the decoder keeps it
+		return nil // the decoder stores the list
 	case event.Code == wire.Instance:
 		h.selected = event.Instance
 		h.hasSelected = true
@@ -81,7 +81,7 @@
 		h.reportUnknown(event)
 		return nil
 	case !h.hasSelected:
-		return frameError(event, "comes before any instance")
+		return frameError(event, "received before any instance record")
 	}
 	target, err := h.instance(event)
 	if err != nil {
@@ -91,29 +91,29 @@
 	return nil
 }
 
-// reportUnknown reports an unknown code once.
+// reportUnknown prints each unknown code once.
 func (h *host) reportUnknown(event *wire.Event) {
 	if h.unknownReported[event.Code] {
 		return
 	}
 	h.unknownReported[event.Code] = true
-	fmt.Fprintf(h.stderr, "simhost: %v at byte %d: unknown code, skipped\n", event.Code, event.Offset)
+	fmt.Fprintf(h.stderr, "simhost: %v at byte %d: unknown event code, record skipped\n", event.Code, event.Offset)
 }
 
-// instance returns the selected instance, which only a begin record may create.
+// instance returns the selected instance. A begin record creates it; any other record for a new instance is an error.
 func (h *host) instance(event *wire.Event) (*instance, error) {
 	if existing := h.instances[h.selected]; existing != nil {
 		return existing, nil
 	}
 	if event.Code != wire.Begin {
-		return nil, frameError(event, fmt.Sprintf("instance %d has not begun", h.selected))
+		return nil, frameError(event, fmt.Sprintf("instance %d has no begin record", h.selected))
 	}
 	created := &instance{reply: &h.reply}
 	h.instances[h.selected] = created
 	return created, nil
 }
 
-// frameError returns the error of an event that may not come where it does.
+// frameError returns an error about an event that is not allowed at its position in the frame.
 func frameError(event *wire.Event, reason string) error {
 	return &wire.FrameError{
 		Record: event.Code.String(),
--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -8,13 +8,14 @@
 	"pinedale/internal/wire"
 )
 
-// instance is one balancer, and the Actions given to it. Each action becomes a record of the host's reply.
+// instance is one balancer together with its implementation of balancer.Actions, which writes each action to the host's
+// reply.
 type instance struct {
 	reply    *wire.Reply
-	balancer *balancer.Balancer // nil before it has begun, once stopped, and after a panic
+	balancer *balancer.Balancer // nil before the begin record, after the stop record and after a panic
 }
 
-// handle passes an event to the balancer. A panic stops it and becomes an exception record.
+// handle passes an event to the balancer. After a panic it writes an exception record and discards the balancer.
 func (i *instance) handle(now balancer.Micros, event *wire.Event) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -32,7 +33,7 @@
 	}
 }
 
-// begin replaces the balancer by a new one with the settings of a begin record.
+// begin replaces the balancer with a new one that has the settings of a begin record.
 func (i *instance) begin(now balancer.Micros, event *wire.Event) {
 	i.balancer = nil
 	settings, err := wire.ParseSettings(event.Config)
@@ -46,7 +47,7 @@
 	i.balancer.Start(now)
 }
 
-// dispatch calls the method of the balancer that an event stands for.
+// dispatch calls the balancer method for an event.
 func (i *instance) dispatch(now balancer.Micros, event *wire.Event) {
 	outcome := &event.Outcome
 	switch event.Code {
@@ -90,7 +91,7 @@
 // Watch writes a track record.
 func (i *instance) Watch(on bool) { i.reply.Track(on) }
 
-// Log writes a trace record: the message, then key=value.
+// Log writes a trace record: the event, then its attributes as key=value.
 func (i *instance) Log(event string, attributes ...any) {
 	var line strings.Builder
 	line.WriteString(event)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
 // Command simhost runs balancers behind the simulator's protocol: it reads batches of events from standard input and
-// writes one reply to each to standard output. It ends at the end of input, or with an error at a malformed frame. A
-// panic or invalid settings of one instance become an exception record, and leave the others running.
+// writes one reply to each to standard output. It ends at the end of input, or with an error at a malformed frame. If
+// an instance panics or has invalid settings, simhost writes an exception record and keeps the other instances running.
 package main
 
 import (
@@ -12,7 +12,7 @@
 
 const (
 	inputBufferBytes = 1 << 18
-	gcPercent        = 400 // nothing is allocated in the steady state: collect rarely
+	gcPercent        = 400 // the steady state allocates nothing, so the collector may run rarely
 )
 
 func main() {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -20,7 +20,7 @@
 reporting.how=probe
 `
 
-// Codes of records, as the protocol numbers them.
+// Codes of records in the protocol.
 const (
 	codeBegin         = 16
 	codeMembership    = 17
@@ -69,13 +69,13 @@
 	return append(frame, body...)
 }
 
-// selectInstance is a record that passes the following ones to an instance.
+// selectInstance returns an instance record, which selects the receiver of the records after it.
 func selectInstance(number uint32) []byte { return record(codeInstance, number) }
 
-// begin is a record that starts a balancer with these settings.
+// begin returns a begin record, which starts a balancer with the given settings.
 func begin(text string) []byte { return record(codeBegin, uint64(5), uint32(len(text)), text) }
 
-// manifest is a record of list 0.
+// manifest returns a manifest record that sets list 0.
 func manifest(ids ...uint32) []byte {
 	fields := []any{uint8(0), uint32(len(ids))}
 	for _, id := range ids {
@@ -84,20 +84,20 @@
 	return record(codeManifest, fields...)
 }
 
-// members is a membership record of list 0, as a cached list.
+// members returns a membership record that delivers list 0 as a cached list.
 func members() []byte { return record(codeMembership, uint32(1), uint8(0), uint8(3)) }
 
-// request is a record of a request of class 0.
+// request returns a request record of class 0.
 func request(id uint64, deadline uint64) []byte {
 	return record(codeRequest, id, uint64(0), deadline, uint32(0), uint8(0), uint16(0), uint8(0))
 }
 
-// answer is a record of the outcome of a request's first attempt.
+// answer returns an answer record for the first attempt of a request.
 func answer(id uint64, endpoint uint32, status uint16, settled uint8) []byte {
 	return record(codeAnswer, id, uint16(0), endpoint, status, uint32(3000), settled, uint8(0))
 }
 
-// runBatches runs a host on batches.
+// runBatches runs a host on batches and returns its output.
 func runBatches(t *testing.T, batches ...[]byte) (replies, stderr string, err error) {
 	t.Helper()
 	var out, errOut bytes.Buffer
@@ -109,18 +109,18 @@
 func actions(t *testing.T, reply []byte) (number uint32, codes []byte) {
 	t.Helper()
 	if int(binary.BigEndian.Uint32(reply[4:])) != len(reply) {
-		t.Fatalf("reply of %d bytes says %d", len(reply), binary.BigEndian.Uint32(reply[4:]))
+		t.Fatalf("reply has %d bytes, its header says %d", len(reply), binary.BigEndian.Uint32(reply[4:]))
 	}
 	for _, action := range splitRecords(reply[replyHeaderBytes:]) {
 		codes = append(codes, action[0])
 	}
 	if int(binary.BigEndian.Uint32(reply[8:])) != len(codes) {
-		t.Fatalf("%d records, header says %d", len(codes), binary.BigEndian.Uint32(reply[8:]))
+		t.Fatalf("reply has %d records, its header says %d", len(codes), binary.BigEndian.Uint32(reply[8:]))
 	}
 	return binary.BigEndian.Uint32(reply), codes
 }
 
-// splitRecords splits what follows the header of a reply.
+// splitRecords splits the body of a reply into its records.
 func splitRecords(body []byte) [][]byte {
 	var records [][]byte
 	for len(body) > 0 {
@@ -131,7 +131,7 @@
 	return records
 }
 
-// countRecords returns how often each record is in a sequence of replies.
+// countRecords returns the number of occurrences of each record in a sequence of replies.
 func countRecords(replies string) map[string]int {
 	counts := map[string]int{}
 	for rest := []byte(replies); len(rest) > 0; {
@@ -147,7 +147,7 @@
 func TestEmptyBatchHasEmptyReply(t *testing.T) {
 	out, _, err := runBatches(t, batch(1, 100))
 	if err != nil || out != "\x00\x00\x00\x01\x00\x00\x00\x0c\x00\x00\x00\x00" {
-		t.Errorf("%x %v", out, err)
+		t.Errorf("reply %x, error %v", out, err)
 	}
 }
 
@@ -175,7 +175,7 @@
 	_, codes := actions(t, []byte(out)[first:])
 	ended := bytes.IndexByte(codes, codeDecline) >= 0 || bytes.IndexByte(codes, codeFail) >= 0
 	if bytes.Count(codes, []byte{codeDeliver}) != 1 || ended {
-		t.Errorf("the new balancer knows a request of the old one: %v", codes)
+		t.Errorf("the new balancer acted on a request of the previous one: codes %v", codes)
 	}
 }
 
@@ -183,7 +183,7 @@
 	together, _, _ := runBatches(t, scriptFor(1, 2)...)
 	repeated, _, _ := runBatches(t, scriptFor(1, 2)...)
 	if together != repeated {
-		t.Fatal("two runs differ")
+		t.Fatal("two runs on the same input differ")
 	}
 	alone := ""
 	for _, instance := range []uint32{1, 2} {
@@ -201,7 +201,7 @@
 	}
 }
 
-// scriptFor returns batches in which each instance begins and gets 30 requests of its own.
+// scriptFor returns batches in which each instance begins and receives 30 requests of its own.
 func scriptFor(instances ...uint32) [][]byte {
 	records := [][]byte{manifest(11, 12, 13)}
 	for _, instance := range instances {
@@ -228,16 +228,16 @@
 		want  string
 	}{
 		{"event before instance", batch(2, 1000, timeout), "timeout_fired at byte 16"},
-		{"event before begin", batch(2, 1000, selectInstance(4), timeout), "instance 4 has not begun"},
+		{"event before begin", batch(2, 1000, selectInstance(4), timeout), "instance 4 has no begin record"},
 		{"truncated", batch(2, 1000, selectInstance(3))[:20], "batch at byte 20"},
 		{"overrun", batch(2, 1000, []byte{codeRequest, 0, 0, 1, 0}), "request at byte 17"},
 	} {
 		out, _, err := runBatches(t, good, c.input)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: error %v, want one line with the position or reason", c.name, err)
 		}
 		if number, _ := actions(t, []byte(out)); number != 1 {
-			t.Errorf("%s: a reply was written for the bad batch", c.name)
+			t.Errorf("%s: the malformed batch has a reply", c.name)
 		}
 	}
 }
@@ -246,7 +246,7 @@
 	_, stderr, err := runBatches(t, batch(1, 1000, record(codeUnknown, uint32(1)), record(codeUnknown),
 		selectInstance(3), begin(settings)))
 	if err != nil || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, "event 99") {
-		t.Errorf("%q %v", stderr, err)
+		t.Errorf("stderr %q, error %v; want one line with the code", stderr, err)
 	}
 }
 
@@ -260,7 +260,7 @@
 			t.Fatal(err)
 		}
 		if _, codes := actions(t, []byte(out)); codes[len(codes)-1] != codeException {
-			t.Errorf("codes %v", codes)
+			t.Errorf("codes %v, want an exception record last", codes)
 		}
 	}
 }
--- a/deploy/architecture_test.go
+++ b/deploy/architecture_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestArchitecturePageListsEveryPackage compares the packages that the tables of ARCHITECTURE.md name in
-// their first column with those of the module.
+// TestArchitecturePageListsEveryPackage checks that the first columns of the tables in ARCHITECTURE.md name
+// exactly the packages of the module.
 func TestArchitecturePageListsEveryPackage(t *testing.T) {
 	page, err := os.ReadFile("../ARCHITECTURE.md")
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 	for _, name := range listed {
 		if !slices.Contains(present, name) {
-			t.Errorf("ARCHITECTURE.md names %s, which is no package", name)
+			t.Errorf("ARCHITECTURE.md names %s, which is not a package", name)
 		}
 	}
 	slices.Sort(listed)
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,5 +1,5 @@
-// Package deploy has the files by which the platform builds and starts the programs. Its tests check them, and the
-// pages, against the code.
+// Package deploy contains the files with which the platform builds and starts the programs. Its tests check these files
+// and the documentation pages against the code.
 package deploy
 
 import (
@@ -22,17 +22,17 @@
 	"pinedale/internal/standin/wait"
 )
 
-// root is the folder of the repository.
+// root is the root folder of the repository.
 const root = ".."
 
-// deployFile has the keys of balancer.toml, which the platform reads.
+// deployFile is the content of balancer.toml, which the platform reads.
 type deployFile struct {
 	Build, Run, Sim string
 	Policy, Node    []string
 	Packages        []string
 }
 
-// readDeployFile reads balancer.toml. A key that the platform does not know ends the test.
+// readDeployFile reads balancer.toml. It fails the test if the file has a key that the platform does not know.
 func readDeployFile(t *testing.T) deployFile {
 	t.Helper()
 	text, err := os.ReadFile("balancer.toml")
@@ -46,8 +46,8 @@
 	return file
 }
 
-// platformCommand returns a command that runs in the root as the platform does, with cgo switched off by the
-// machine's environment.
+// platformCommand returns a command that runs in the root folder, as the platform runs it, in an environment that
+// disables cgo.
 func platformCommand(command string) *exec.Cmd {
 	cmd := exec.Command("/bin/sh", "-c", command)
 	cmd.Dir = root
@@ -55,11 +55,11 @@
 	return cmd
 }
 
-// exitTimeout is how long the sidecar may take to end.
+// exitTimeout is the time within which the sidecar must exit after SIGTERM.
 const exitTimeout = time.Minute
 
-// The build command makes a program that is linked against the C library, whatever the environment says of cgo. The
-// run command's shell becomes that program, which has no children and ends on SIGTERM.
+// The build command links the program against the C library even if the environment disables cgo. The run command's
+// shell replaces itself with the program, which has no child processes and exits on SIGTERM.
 func TestBuildLinksCLibraryAndRunBecomesSidecar(t *testing.T) {
 	file := readDeployFile(t)
 	bin := buildInto(t, t.TempDir(), file.Build)
@@ -81,19 +81,19 @@
 
 	executable, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", process.PID()))
 	if err != nil || executable != filepath.Join(bin, "pinedale") {
-		t.Errorf("the shell became %s, %v", executable, err)
+		t.Errorf("the run command's shell became %s, error %v", executable, err)
 	}
 	children, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%d/children", process.PID(), process.PID()))
 	if err != nil || len(children) > 0 {
-		t.Errorf("the sidecar has child processes %s, %v", children, err)
+		t.Errorf("the sidecar has child processes %s, error %v", children, err)
 	}
 	process.Signal(syscall.SIGTERM)
 	if err := process.Wait(exitTimeout); err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+		t.Errorf("the sidecar ended with %v after SIGTERM, want exit code 0", err)
 	}
 }
 
-// buildInto runs the build command with another folder in place of bin, which may be in use, and returns that folder.
+// buildInto runs the build command with another output folder, since bin may be in use, and returns that folder.
 func buildInto(t *testing.T, bin, command string) string {
 	t.Helper()
 	command = strings.NewReplacer("mkdir -p bin", "true", "-o bin/", "-o "+bin+"/").Replace(command)
@@ -103,7 +103,7 @@
 	return bin
 }
 
-// checkLinkedAgainstC checks that a program is linked against the C library.
+// checkLinkedAgainstC checks that the program at path is linked against the C library.
 func checkLinkedAgainstC(t *testing.T, path string) {
 	t.Helper()
 	file, err := elf.Open(path)
@@ -113,12 +113,12 @@
 	defer file.Close()
 	libraries, err := file.ImportedLibraries()
 	if err != nil || !slices.Contains(libraries, "libc.so.6") {
-		t.Fatalf("linked against %q, %v: want the C library", libraries, err)
+		t.Fatalf("linked against %q, error %v; want the C library", libraries, err)
 	}
 }
 
-// recordFiles are the files of the decision module that hold its types, records and averages, and decide nothing. A
-// new file counts as one that decides unless it is added here.
+// recordFiles are the files of package balancer that contain types, records and averages but make no decisions. A new
+// file counts as one that makes decisions unless it is added here.
 var recordFiles = []string{
 	"balancer/doc.go", "balancer/api.go", "balancer/settings.go", "balancer/ledger.go", "balancer/endpoints.go",
 	"balancer/budgets.go", "balancer/probe_pool.go", "balancer/key_records.go", "balancer/breaker_window.go",
@@ -126,7 +126,7 @@
 	"balancer/endpointset.go",
 }
 
-// The deploy file names files that exist, and its policy names every file of the decision module that decides.
+// All files that the deploy file names exist, and its policy names every file of package balancer that makes decisions.
 func TestDeployFileNamesDecidingFiles(t *testing.T) {
 	file := readDeployFile(t)
 	for key, names := range map[string][]string{"policy": file.Policy, "node": file.Node} {
--- a/deploy/docs_test.go
+++ b/deploy/docs_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// pages returns the text of every page below docs, and of those at the root, by path from the root.
+// pages returns the text of README.md, ARCHITECTURE.md and every page below docs, by path from the root.
 func pages(t *testing.T) map[string]string {
 	t.Helper()
 	found := map[string]string{}
@@ -37,7 +37,7 @@
 	return found
 }
 
-// functions returns the functions that a Go file declares: Func, or Type.Method.
+// functions returns the names of the functions that a Go file declares, as Func or Type.Method.
 func functions(t *testing.T, path string) map[string]bool {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
@@ -83,11 +83,11 @@
 		}
 	}
 	if references < 20 {
-		t.Errorf("only %d references were found", references)
+		t.Errorf("found only %d references, want at least 20", references)
 	}
 }
 
-// TestPagesNameTestsThatExist checks that each test, fuzz test and benchmark that a page names is there.
+// TestPagesNameTestsThatExist checks that each test, fuzz test and benchmark that a page names exists.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	declared := map[string]bool{}
 	for _, root := range []string{"../balancer", "../cmd", "../deploy", "../internal", "../tools"} {
@@ -110,7 +110,7 @@
 	for page, text := range pages(t) {
 		for _, name := range named.FindAllString(text, -1) {
 			if !declared[name] {
-				t.Errorf("%s names %s, which is no test", page, name)
+				t.Errorf("%s names %s, which is not a test", page, name)
 			}
 		}
 	}
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -9,8 +9,8 @@
 	"pinedale/balancer"
 )
 
-// Event is one decoded record. Comments name the codes of the records that set a field; the other fields are left
-// unset. Slices are valid until the next call of Next.
+// Event is one decoded record. Each field has a comment with the codes of the records that set it; the other fields
+// keep their previous values. Slices are valid until the next call of Next.
 type Event struct {
 	Code     Code
 	Offset   int                 // byte offset of the record in its frame
@@ -43,20 +43,20 @@
 	err          error
 
 	lists     [maxLists][]balancer.Endpoint
-	listKnown [maxLists]bool // by number: a manifest record has set the list
+	listKnown [maxLists]bool // by number: whether a manifest record has set the list
 	load      []float32      // buffer of load reports
 }
 
-// Reset starts on a frame from ReadFrame and returns its number and clock.
+// Reset starts decoding a frame from ReadFrame and returns its number and clock.
 func (d *Decoder) Reset(frame []byte) (batch uint32, now balancer.Micros, err error) {
 	if len(frame) < batchHeaderSize {
-		return 0, 0, &FrameError{Record: "batch header", Offset: len(frame), Reason: "shorter than a header"}
+		return 0, 0, &FrameError{Record: "batch header", Offset: len(frame), Reason: "frame is shorter than its header"}
 	}
 	if size := int(binary.BigEndian.Uint32(frame[batchSizeOffset:])); size != len(frame) {
 		return 0, 0, &FrameError{
 			Record: "batch header",
 			Offset: batchSizeOffset,
-			Reason: fmt.Sprintf("size %d but %d bytes", size, len(frame)),
+			Reason: fmt.Sprintf("size field is %d, frame has %d bytes", size, len(frame)),
 		}
 	}
 	d.frame = frame
@@ -64,8 +64,8 @@
 	return binary.BigEndian.Uint32(frame), balancer.Micros(binary.BigEndian.Uint64(frame[batchClockOffset:])), nil
 }
 
-// Next decodes one record into event. It returns io.EOF after the last one, and a *FrameError for a malformed one. A
-// record of an unknown code is returned with its code and offset alone.
+// Next decodes one record into event. It returns io.EOF after the last one, and a *FrameError for a malformed one. For
+// a record of an unknown code, it sets only code and offset.
 func (d *Decoder) Next(event *Event) error {
 	remaining := len(d.frame) - d.offset
 	if remaining == 0 {
@@ -78,20 +78,20 @@
 	event.Offset = d.offset
 	d.decodeFields(event)
 	if d.err == nil && d.bytesRead < len(d.record) {
-		d.fail(fmt.Sprintf("%d bytes too many", len(d.record)-d.bytesRead))
+		d.fail(fmt.Sprintf("fields have %d bytes too many", len(d.record)-d.bytesRead))
 	}
 	d.offset += len(d.record)
 	return d.err
 }
 
-// startRecord reads the header of the next record, where that many bytes of the frame remain.
+// startRecord reads the header of the next record. remaining is the number of undecoded bytes in the frame.
 func (d *Decoder) startRecord(remaining int) error {
 	d.recordOffset = d.offset
 	d.recordName = "record"
 	d.bytesRead = 0
 	d.err = nil
 	if remaining < recordHeaderSize {
-		d.fail(fmt.Sprintf("a record header needs %d bytes, has %d", recordHeaderSize, remaining))
+		d.fail(fmt.Sprintf("record header needs %d bytes, frame has %d left", recordHeaderSize, remaining))
 		return d.err
 	}
 	d.recordName = Code(d.frame[d.offset]).String()
@@ -205,13 +205,13 @@
 func (d *Decoder) listNumber() int {
 	number := int(d.uint8())
 	if number >= maxLists {
-		d.failAtLast(1, fmt.Sprintf("list number %d is over %d", number, maxLists-1))
+		d.failAtLast(1, fmt.Sprintf("list number %d is over the maximum of %d", number, maxLists-1))
 		return 0
 	}
 	return number
 }
 
-// membership reads the list number and kind of a membership record, and resolves the number.
+// membership reads the list number and kind of a membership record, and sets the entries of that list.
 func (d *Decoder) membership(event *Event) {
 	number := d.uint8()
 	event.Entries = nil
@@ -220,7 +220,7 @@
 		return
 	}
 	if number >= maxLists || !d.listKnown[number] {
-		d.failAtLast(2, fmt.Sprintf("list number %d has not been conveyed", number))
+		d.failAtLast(2, fmt.Sprintf("list number %d has not been received in a manifest record", number))
 		return
 	}
 	event.Entries = d.lists[number]
--- a/internal/wire/decoder_test.go
+++ b/internal/wire/decoder_test.go
@@ -56,10 +56,10 @@
 	}
 	events = decodeAll(t, decoder, frame(unhex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
 	if events[0].Kind != balancer.ListFull || events[0].Entries[0].ID != 2 {
-		t.Error("the list does not outlive its batch")
+		t.Error("the list is not kept after the end of its batch")
 	}
 	if events[1].Kind != balancer.ListFailed || events[1].Entries != nil {
-		t.Error("a failed poll must not need a list")
+		t.Error("the membership record of a failed poll is not decoded without a list")
 	}
 }
 
@@ -78,7 +78,7 @@
 		{"config overruns", "10 0000000c 0000000000000000 00000009", "begin", "needs 9"},
 		{"entries overrun", "1a 00000005 00 00000002", "manifest", "2 entries"},
 		{"bad list number", "1a 00000005 10 00000000", "manifest", "list number 16"},
-		{"list not conveyed", "11 00000006 00000029 04 03", "membership", "not been conveyed"},
+		{"list not received", "11 00000006 00000029 04 03", "membership", "not been received"},
 		{"bad list kind", "11 00000006 00000029 00 07", "membership", "unknown kind 7"},
 		{"bad status", "14 00000016 0005bf975d3a91c4 0000 03124a07 00c9 00004844 01 00", "answer", "status 201"},
 		{"bad state", "1a 0000001a 00 00000001 00000001 00 00 0000 02 3f800000 0000000000000000", "manifest", "status 2"},
@@ -111,11 +111,11 @@
 		}
 	}
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
-		t.Errorf("clean end: %v", err)
+		t.Errorf("empty input: %v, want io.EOF", err)
 	}
 }
 
-// Any records are decoded, or end in a *FrameError.
+// Any sequence of records is either decoded to its end or fails with a *FrameError.
 func FuzzDecoder(f *testing.F) {
 	for _, records := range []string{
 		exInstance, exRequest, exTimer, exCancelledByClient, exHeaders, exAnswer, exHealth, exWhisper,
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -7,7 +7,7 @@
 	"pinedale/balancer"
 )
 
-// failAtLast records an error about the last n bytes that were read, unless there was one before.
+// failAtLast records an error at the start of the last n bytes that were read, unless an error was recorded before.
 func (d *Decoder) failAtLast(n int, reason string) {
 	if d.err == nil {
 		d.bytesRead -= n
@@ -15,7 +15,7 @@
 	}
 }
 
-// fail records the first error of a record, at the byte that is read next.
+// fail records an error at the next unread byte, unless an error was recorded before.
 func (d *Decoder) fail(reason string) {
 	if d.err == nil {
 		d.err = &FrameError{Record: d.recordName, Offset: d.recordOffset + d.bytesRead, Reason: reason}
--- a/internal/wire/helpers_test.go
+++ b/internal/wire/helpers_test.go
@@ -35,7 +35,7 @@
 	return append(batch, body...)
 }
 
-// The examples of the protocol's description.
+// Examples from the protocol's specification.
 const (
 	exInstance          = "1b 00000004 00000003"
 	exRequest           = "12 00000020 0005bf975d3a91c4 91f03b7c55d20a64 00000000008405da 00002ee0 01 0000 00"
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -10,7 +10,7 @@
 // AllPeers addresses WritePeer to every peer.
 const AllPeers uint32 = math.MaxUint32
 
-// maxPeerDataBytes is the size to which the data of a write_peer record is cut.
+// maxPeerDataBytes is the limit to which the data of a write_peer record is truncated.
 const maxPeerDataBytes = 256
 
 // Sizes of the fields of records, in bytes.
@@ -35,7 +35,7 @@
 // Reset starts the reply to a batch.
 func (r *Reply) Reset(batch uint32) {
 	r.buffer = binary.BigEndian.AppendUint32(r.buffer[:0], batch)
-	r.buffer = append(r.buffer, 0, 0, 0, 0, 0, 0, 0, 0) // the size and the number of records, which Bytes sets
+	r.buffer = append(r.buffer, 0, 0, 0, 0, 0, 0, 0, 0) // placeholder of the size and the record count that Bytes sets
 	r.records = 0
 }
 
@@ -46,7 +46,7 @@
 	return r.buffer
 }
 
-// As writes an as record: the instance that issues the actions after it.
+// As writes an as record, which names the instance that issues the actions after it.
 func (r *Reply) As(instance uint32) {
 	r.startRecord(As, instanceSize)
 	r.uint32(instance)
@@ -99,7 +99,7 @@
 	r.uint32(endpoint)
 }
 
-// WritePeer writes a write_peer record. Data beyond maxPeerDataBytes is cut off.
+// WritePeer writes a write_peer record. Data beyond maxPeerDataBytes is truncated.
 func (r *Reply) WritePeer(peer uint32, data []byte) {
 	data = data[:min(len(data), maxPeerDataBytes)]
 	r.startRecord(WritePeer, peerSize+lengthSize+len(data))
@@ -134,7 +134,7 @@
 	r.uint32(uint32(size))
 }
 
-// text writes a record of one line, which is cut to the longest length that its field can hold.
+// text writes a record of one line, truncated to the longest length that its field can hold.
 func (r *Reply) text(code Code, line string) {
 	line = line[:min(len(line), math.MaxUint16)]
 	r.startRecord(code, lengthSize+len(line))
@@ -146,7 +146,7 @@
 func (r *Reply) uint32(value uint32) { r.buffer = binary.BigEndian.AppendUint32(r.buffer, value) }
 func (r *Reply) uint64(value uint64) { r.buffer = binary.BigEndian.AppendUint64(r.buffer, value) }
 
-// micros writes a duration, clamped to the range of four bytes.
+// micros writes a duration, clamped to the range of an unsigned 32-bit integer.
 func (r *Reply) micros(duration balancer.Micros) {
 	r.uint32(uint32(min(max(duration, 0), math.MaxUint32)))
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -26,7 +26,7 @@
 }
 
 // ParseSettings reads the settings text of a begin record: lines of the form path=value. Unknown keys are skipped.
-// Errors are *balancer.SettingError and name the key on the wire; whether values make sense is left to balancer.New.
+// Errors are *balancer.SettingError with the key as written in the text. Ranges of values are checked by balancer.New.
 func ParseSettings(text string) (balancer.Settings, error) {
 	t, err := parsePairs(text)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// fieldsByName maps the names of load figures; other names are FieldOther.
+// fieldsByName maps the names of load report fields. Other names map to FieldOther, the zero value.
 var fieldsByName = map[string]balancer.Field{
 	"busy_reqs": balancer.FieldInFlight,
 	"pending":   balancer.FieldQueue,
@@ -116,7 +116,7 @@
 	"none":    false,
 }
 
-// fields returns the figures of load reports in order, nil if endpoints do not report.
+// fields returns the fields of load reports in order, nil if endpoints do not report.
 func (t *settingsText) fields() []balancer.Field {
 	reported := keyword(t, "reporting.how", false, reportingModes)
 	names := t.pairs["reporting.fields"]
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -52,11 +52,11 @@
 		t.Errorf("fields %v", fields)
 	}
 	if _, err := balancer.New(settings, 1, nil); err != nil {
-		t.Errorf("the constructor rejects them: %v", err)
+		t.Errorf("balancer.New rejects the parsed settings: %v", err)
 	}
 	settings, err = ParseSettings(strings.Replace(goodSettings, "how=probe", "how=none", 1))
 	if err != nil || settings.Fields != nil {
-		t.Errorf("no reports: %v %v", settings.Fields, err)
+		t.Errorf("without load reports: fields %v, error %v", settings.Fields, err)
 	}
 }
 
@@ -79,12 +79,12 @@
 		_, err := ParseSettings(strings.Replace(goodSettings, c.old, c.new, 1))
 		var invalid *balancer.SettingError
 		if !errors.As(err, &invalid) || invalid.Key != c.key {
-			t.Errorf("%s -> %s: %v", c.old, c.new, err)
+			t.Errorf("%s -> %s: error %v, want a *balancer.SettingError", c.old, c.new, err)
 		}
 	}
 }
 
-// The constructor of the balancer rejects values that have the right form but are out of range.
+// Values of the right form that are out of range are rejected by balancer.New, not by ParseSettings.
 func TestParseSettingsLeavesRangesToBalancer(t *testing.T) {
 	settings, err := ParseSettings(strings.Replace(goodSettings, "window=400000", "window=-1", 1))
 	if err != nil {
--- a/internal/wire/settingstext.go
+++ b/internal/wire/settingstext.go
@@ -12,7 +12,7 @@
 // maxListLength bounds the lists of classes and tenants.
 const maxListLength = 256
 
-// settingsText holds the pairs of a settings text and the first error of their conversion.
+// settingsText holds the pairs of a settings text and the first conversion error.
 type settingsText struct {
 	pairs map[string]string
 	err   error
@@ -31,7 +31,7 @@
 			return nil, &balancer.SettingError{
 				Key:    fmt.Sprintf("line %d", i+1),
 				Value:  line,
-				Reason: "not of the form path=value",
+				Reason: "is not of the form path=value",
 			}
 		}
 		t.pairs[key] = value
@@ -53,8 +53,8 @@
 	}
 }
 
-// value returns the parsed value of a key, or the fallback if the key is absent or its value
-// does not have the form that parse accepts, which is an error.
+// value returns the parsed value of a key, or the fallback if the key is absent. It records an error and returns the
+// fallback if parse does not accept the value; form describes what parse accepts.
 func value[T any](t *settingsText, key string, fallback T, form string, parse func(string) (T, error)) T {
 	text, ok := t.pairs[key]
 	if !ok {
@@ -62,7 +62,7 @@
 	}
 	parsed, err := parse(text)
 	if err != nil {
-		t.fail(key, text, "not "+form)
+		t.fail(key, text, "is not "+form)
 		return fallback
 	}
 	return parsed
@@ -81,21 +81,21 @@
 	return number, err
 }
 
-// integer returns a whole number.
+// integer returns a 64-bit integer.
 func (t *settingsText) integer(key string, fallback int64) int64 {
-	return value(t, key, fallback, "a whole number", func(text string) (int64, error) {
+	return value(t, key, fallback, "a 64-bit integer", func(text string) (int64, error) {
 		return strconv.ParseInt(text, 10, 64)
 	})
 }
 
-// boolean returns a truth value, false if the key is absent.
+// boolean returns a boolean, false if the key is absent.
 func (t *settingsText) boolean(key string) bool {
 	return value(t, key, false, "true or false", strconv.ParseBool)
 }
 
-// keyword returns the meaning of a word. An unknown word is an error.
+// keyword returns what meanings has for the value of a key. Any other value is an error.
 func keyword[T any](t *settingsText, key string, fallback T, meanings map[string]T) T {
-	return value(t, key, fallback, "a known word", func(text string) (T, error) {
+	return value(t, key, fallback, "a known keyword", func(text string) (T, error) {
 		if meaning, ok := meanings[text]; ok {
 			return meaning, nil
 		}
@@ -112,7 +112,7 @@
 	count := t.integer(key, 0)
 	text := strconv.FormatInt(count, 10)
 	if count < 0 || count > maxListLength {
-		t.fail(key, text, "out of range")
+		t.fail(key, text, "is out of range")
 		return 0
 	}
 	for i := range int(count) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire is the codec of the simulator's protocol: binary frames in both directions, and the settings text of
-// a begin record. It makes no decisions, and its only state is the endpoint lists that a Decoder has received.
+// a begin record. Its only state is the endpoint lists that a Decoder has received.
 //
 // A frame to the host is a batch of events: number, size and clock, followed by records of a code byte, a size and
 // fields, all big endian. The host answers each batch with one frame of actions. Codes, names of records and keys of
@@ -104,8 +104,8 @@
 	return fmt.Sprintf("%s at byte %d: %s", e.Record, e.Offset, e.Reason)
 }
 
-// ReadFrame reads one batch into buffer, which grows as needed, and returns it. It returns io.EOF only at the end of
-// input between two frames, and a *FrameError for a malformed or truncated frame.
+// ReadFrame reads one batch into buffer, which grows as needed, and returns it. It returns io.EOF only if the input
+// ends between two frames, and a *FrameError for a malformed or truncated frame.
 func ReadFrame(r io.Reader, buffer []byte) ([]byte, error) {
 	if cap(buffer) < batchHeaderSize {
 		buffer = make([]byte, initialBufferSize)
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	for len(buffer) < size {
-		// The buffer grows as bytes arrive, so that a large size in a header alone allocates no memory.
+		// The buffer grows as bytes arrive, so that a header with a large size alone does not allocate memory.
 		start := len(buffer)
 		buffer = extend(buffer, min(size-start, maxReadStep))
 		n, err := io.ReadFull(r, buffer[start:])
@@ -138,7 +138,7 @@
 		return 0, io.EOF
 	}
 	if err != nil {
-		return 0, &FrameError{Record: "batch header", Offset: n, Reason: "input ends inside it"}
+		return 0, &FrameError{Record: "batch header", Offset: n, Reason: "input ends inside the header"}
 	}
 	size = int(binary.BigEndian.Uint32(header[batchSizeOffset:]))
 	if size < batchHeaderSize || size > maxFrameSize {
@@ -151,7 +151,7 @@
 	return size, nil
 }
 
-// extend returns buffer with n more bytes of any content.
+// extend returns buffer with n more bytes, whose contents are undefined.
 func extend(buffer []byte, n int) []byte {
 	length := len(buffer) + n
 	if cap(buffer) < length {
