--- a/internal/faulttest/class.go
+++ b/internal/faulttest/class.go
@@ -10,11 +10,11 @@
 type requestClass struct {
 	name             string
 	idempotency      balancer.Idempotency
-	group            balancer.Group // servers that share idempotency keys, if the class has keys
-	dedupWindow      time.Duration  // for which servers remember a key
-	probability      float64        // of an effect to be of this class
+	group            balancer.Group // servers that share idempotency keys, for classes with keys
+	dedupWindow      time.Duration  // how long servers store a key
+	probability      float64        // that an effect is of this class
 	latencyObjective time.Duration
-	deadline         time.Duration // of a client's effect, over all attempts
+	deadline         time.Duration // of an effect, over all attempts
 }
 
 const (
@@ -22,8 +22,9 @@
 	requestDeadline  = 1500 * time.Millisecond
 )
 
-// requestClasses are the classes of the co-operative, with deadlines that suit runs of seconds. Servers forget the
-// keys of stall-pay before clients give up, so that retries depend on the leases of the instances.
+// requestClasses are the classes of the co-operative's requests, with deadlines that suit runs of a few seconds.
+// Servers evict the keys of stall-pay before its clients give up, so that the at-most-once rule depends on the leases
+// of the instances.
 var requestClasses = []requestClass{
 	{
 		name:             "price-check",
--- a/internal/faulttest/client.go
+++ b/internal/faulttest/client.go
@@ -15,36 +15,36 @@
 
 // The behaviour of clients.
 const (
-	maxAttempts       = 4                     // at an effect
-	maxHastyAttempts  = 2                     // that a hasty client gives up early
-	minAttemptTime    = 20 * time.Millisecond // left until the deadline for an attempt to be made
-	maxRetryAfter     = time.Second           // that a client waits if a response asks it to
-	retryJitterMillis = 40                    // upper bound of the random wait before a retry
+	maxAttempts          = 4                     // at an effect
+	maxCancelledAttempts = 2                     // per effect, by a client that cancels early
+	minAttemptTime       = 20 * time.Millisecond // no attempt is made if less time is left until the deadline
+	maxRetryAfter        = time.Second           // longest wait that a client accepts from a response
+	retryJitterMillis    = 40                    // upper bound of the random wait before a retry
 
-	// A hasty client gives up after a random fraction of its class's deadline.
-	minHastyFraction   = 0.01
-	hastyFractionRange = 0.2
+	// A client that cancels early does so after a random fraction of its class's deadline.
+	minCancelFraction   = 0.01
+	cancelFractionRange = 0.2
 
-	// A retry is sent to an instance that is drawn anew, except for one in sameInstanceRetries.
-	sameInstanceRetries = 4
+	// One in sameInstanceRetryOneIn retries is sent to the same instance, the others to an instance drawn at random.
+	sameInstanceRetryOneIn = 4
 )
 
-// client is a client that requests one effect, in several attempts.
+// client requests one effect, in up to maxAttempts attempts.
 type client struct {
-	rig    *rig
-	http   *http.Client
-	effect *effect
+	testRun *testRun
+	http    *http.Client
+	effect  *effect
 }
 
-// run makes attempts until one succeeds, the deadline is near, or maxAttempts have been made. It records each of them.
+// run makes attempts until one succeeds, the deadline is near, or maxAttempts have been made. Each attempt is recorded.
 func (c *client) run(ctx context.Context) {
-	deadline := c.rig.sinceLoadStart() + c.effect.class.deadline
+	deadline := c.testRun.sinceLoadStart() + c.effect.class.deadline
 	instance := c.effect.firstInstance
 	for number := range maxAttempts {
-		if deadline-c.rig.sinceLoadStart() < minAttemptTime {
+		if deadline-c.testRun.sinceLoadStart() < minAttemptTime {
 			return
 		}
-		result := c.attempt(ctx, number, c.rig.instances[instance].name, deadline)
+		result := c.attempt(ctx, number, c.testRun.instances[instance].name, deadline)
 		if result.succeeded() || ctx.Err() != nil {
 			return
 		}
@@ -52,8 +52,8 @@
 		if !ctxtime.Sleep(ctx, result.retryAfter+jitter) {
 			return
 		}
-		if c.effect.rng.IntN(sameInstanceRetries) > 0 {
-			instance = c.effect.rng.IntN(len(c.rig.instances))
+		if c.effect.rng.IntN(sameInstanceRetryOneIn) > 0 {
+			instance = c.effect.rng.IntN(len(c.testRun.instances))
 		}
 	}
 }
@@ -62,7 +62,7 @@
 type attemptResult struct {
 	outcome    history.Outcome
 	status     int           // of the response, for Answered
-	retryAfter time.Duration // that the response asks the client to wait
+	retryAfter time.Duration // how long the response asks the client to wait
 }
 
 // succeeded reports whether the attempt was answered with success.
@@ -78,14 +78,14 @@
 		HasKey:    c.effect.class.hasKey(),
 		Number:    number,
 		Instance:  instance,
-		Requested: c.rig.sinceLoadStart(),
+		Requested: c.testRun.sinceLoadStart(),
 		Deadline:  deadline,
 	}
 	result := c.send(ctx, &attempt)
-	attempt.Ended = c.rig.sinceLoadStart()
+	attempt.Ended = c.testRun.sinceLoadStart()
 	attempt.Outcome = result.outcome
 	attempt.Status = result.status
-	c.rig.recorder.record(func(h *history.History) { h.Attempts = append(h.Attempts, attempt) })
+	c.testRun.recorder.record(func(h *history.History) { h.Attempts = append(h.Attempts, attempt) })
 	return result
 }
 
@@ -93,8 +93,8 @@
 func (c *client) send(ctx context.Context, attempt *history.Attempt) attemptResult {
 	remaining := attempt.Deadline - attempt.Requested
 	timeout, timeoutOutcome := remaining+history.UnansweredAfter, history.Unanswered
-	if c.effect.hasty && attempt.Number < maxHastyAttempts {
-		timeout, timeoutOutcome = c.drawHastyTimeout(), history.Cancelled
+	if c.effect.cancelsEarly && attempt.Number < maxCancelledAttempts {
+		timeout, timeoutOutcome = c.drawCancelTimeout(), history.Cancelled
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -121,13 +121,13 @@
 	}
 }
 
-// drawHastyTimeout draws the time after which a hasty client gives an attempt up.
-func (c *client) drawHastyTimeout() time.Duration {
-	fraction := minHastyFraction + hastyFractionRange*c.effect.rng.Float64()
+// drawCancelTimeout draws the time after which a client cancels an attempt early.
+func (c *client) drawCancelTimeout() time.Duration {
+	fraction := minCancelFraction + cancelFractionRange*c.effect.rng.Float64()
 	return time.Duration(float64(c.effect.class.deadline) * fraction)
 }
 
-// newRequest returns the request of an attempt, of which some time remains until its deadline.
+// newRequest returns the request of an attempt. remaining is the time left until the deadline.
 func (c *client) newRequest(
 	ctx context.Context, attempt *history.Attempt, remaining time.Duration,
 ) (*http.Request, error) {
@@ -137,12 +137,12 @@
 	if class.idempotency == balancer.Idempotent {
 		method, body = http.MethodGet, nil
 	}
-	url := "http://" + c.rig.network.clientAddresses[attempt.Instance] + "/" + class.name + "/x"
+	url := "http://" + c.testRun.network.clientAddresses[attempt.Instance] + "/" + class.name + "/x"
 	request, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return nil, err
 	}
-	request.GetBody = nil // without it net/http does not retry
+	request.GetBody = nil // keeps net/http from retrying the request
 	request.Header.Set("X-Correlation-Id", fmt.Sprintf("%s-%d", c.effect.key, attempt.Number))
 	request.Header.Set("X-Service-Class", class.name)
 	request.Header.Set("X-Time-Left-Ms", fmt.Sprint(remaining.Milliseconds()))
--- a/internal/faulttest/config.go
+++ b/internal/faulttest/config.go
@@ -13,8 +13,8 @@
 	"pinedale/balancer"
 )
 
-// configTemplate is the configuration of an instance, executed with a configData. Slow start and health checks are
-// off, so that what instances replicate about servers no longer changes once clients have stopped.
+// configTemplate is the configuration of an instance. Its data is a configData. Slow start and health checks are
+// disabled, so that replicated state about servers stops changing once clients have stopped.
 var configTemplate = template.Must(template.New("config").Funcs(configFunctions).Parse(`version = 1
 name = {{quote .Instance.Name}}
 site = {{quote .Site}}
@@ -66,7 +66,7 @@
 	"array": quoteArray,
 }
 
-// quoteArray formats strings as an array in TOML.
+// quoteArray formats strings as a TOML array.
 func quoteArray(values []string) string {
 	quoted := make([]string, len(values))
 	for i, value := range values {
@@ -75,7 +75,7 @@
 	return "[" + strings.Join(quoted, ", ") + "]"
 }
 
-// configData is what configTemplate refers to.
+// configData is the data of configTemplate.
 type configData struct {
 	Instance         configInstance
 	InstanceNames    []string
@@ -89,7 +89,7 @@
 	DiscoveryAddress string
 }
 
-// configInstance is the instance that is configured.
+// configInstance is the configured instance.
 type configInstance struct {
 	Name          string
 	HTTPAddress   string
@@ -108,20 +108,20 @@
 	Deadline         time.Duration
 }
 
-// repeatValues are the values of class.repeat.
+// repeatValues are the values of the key class.repeat.
 var repeatValues = map[balancer.Idempotency]string{
 	balancer.Idempotent:        "safe",
 	balancer.IdempotentWithKey: "keyed",
 }
 
-// groupValues are the values of class.group.
+// groupValues are the values of the key class.group.
 var groupValues = map[balancer.Group]string{
 	balancer.GroupAll:  "all",
 	balancer.GroupCell: "pod",
 }
 
 // writeConfig writes the configuration file of an instance's next process.
-func (r *rig) writeConfig(i *instance) error {
+func (r *testRun) writeConfig(i *instance) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	data := configData{
@@ -154,7 +154,7 @@
 	return os.WriteFile(i.configFile, text.Bytes(), 0o600)
 }
 
-// configClasses returns the configuration of requestClasses.
+// configClasses returns requestClasses as configured.
 func configClasses() []configClass {
 	var configured []configClass
 	for _, class := range requestClasses {
--- a/internal/faulttest/drain.go
+++ b/internal/faulttest/drain.go
@@ -12,7 +12,7 @@
 // drain is one drain of a server.
 type drain struct {
 	server      string
-	listVersion uint64        // of the endpoint lists that advertise it
+	listVersion uint64        // of the endpoint lists that first advertised the drain
 	end         time.Duration // when the server was restarted, 0 before
 }
 
@@ -24,8 +24,8 @@
 	started []drain
 }
 
-// updateLists changes a server's entry in all endpoint lists, and returns their new version.
-func (r *rig) updateLists(server string, update func(*fakediscovery.Host)) uint64 {
+// updateLists changes a server's entry in all endpoint lists, and returns the new version of the lists.
+func (r *testRun) updateLists(server string, update func(*fakediscovery.Host)) uint64 {
 	r.drains.listsMu.Lock()
 	defer r.drains.listsMu.Unlock()
 	var version uint64
@@ -45,17 +45,17 @@
 }
 
 // startDrain has discovery advertise that a server drains.
-func (r *rig) startDrain(server string) {
-	version := r.updateLists(server, func(host *fakediscovery.Host) { host.State = healthDrains })
+func (r *testRun) startDrain(server string) {
+	version := r.updateLists(server, func(host *fakediscovery.Host) { host.State = healthDraining })
 	r.drains.mu.Lock()
 	defer r.drains.mu.Unlock()
 	r.drains.started = append(r.drains.started, drain{server: server, listVersion: version})
 }
 
-// endDrain restarts a server that drains, and has discovery advertise that.
-func (r *rig) endDrain(server string) error {
+// endDrain restarts a draining server, and has discovery advertise it as ready.
+func (r *testRun) endDrain(server string) error {
 	r.recordDrainEnd(server)
-	_ = r.servers.stopServer(server) // if this fails, so does the start
+	_ = r.servers.stopServer(server) // if this fails, startServer fails too
 	if err := r.servers.startServer(server); err != nil {
 		return err
 	}
@@ -66,8 +66,7 @@
 	return nil
 }
 
-// recordDrainEnd records that the drain of a server has ended.
-func (r *rig) recordDrainEnd(server string) {
+func (r *testRun) recordDrainEnd(server string) {
 	r.drains.mu.Lock()
 	defer r.drains.mu.Unlock()
 	for i := range r.drains.started {
@@ -77,8 +76,8 @@
 	}
 }
 
-// observedDrains returns the drains, with what discovery services and paths have observed of them.
-func (r *rig) observedDrains() []history.Drain {
+// observedDrains returns the drains together with what discovery services and paths have observed of them.
+func (r *testRun) observedDrains() []history.Drain {
 	r.drains.mu.Lock()
 	defer r.drains.mu.Unlock()
 	var observed []history.Drain
@@ -88,8 +87,8 @@
 	return observed
 }
 
-// observedDrain returns a drain, with what discovery services and paths have observed of it.
-func (r *rig) observedDrain(started drain) history.Drain {
+// observedDrain returns one drain in the form of observedDrains.
+func (r *testRun) observedDrain(started drain) history.Drain {
 	observed := history.Drain{
 		Server:   started.server,
 		End:      started.end,
--- a/internal/faulttest/fault.go
+++ b/internal/faulttest/fault.go
@@ -14,25 +14,25 @@
 	"pinedale/internal/faulttest/schedule"
 )
 
-// faultState is the state of the faults in progress, by their index in the schedule.
+// faultState is the state of the faults in progress, by the index of the fault in the schedule.
 type faultState struct {
 	mu               sync.Mutex
 	activePathFaults map[int]schedule.Fault
-	suspended        map[int]*process // the first process, of faults of kind DuplicateInstance
+	suspended        map[int]*process // first process of the instance, for faults of kind DuplicateInstance
 }
 
-// playFaults plays all faults of the schedule and returns when they are over.
-func (r *rig) playFaults(ctx context.Context) {
+// injectFaults injects all faults of the schedule and returns once they have ended.
+func (r *testRun) injectFaults(ctx context.Context) {
 	var faults sync.WaitGroup
 	defer faults.Wait()
 	for index, fault := range r.options.Schedule.Faults {
-		faults.Go(func() { r.playFault(ctx, index, &fault) })
+		faults.Go(func() { r.injectFault(ctx, index, &fault) })
 	}
 }
 
-// playFault plays one fault. If that fails, the run goes on, and the failure is recorded as an unexpected exit of the
-// fault's target.
-func (r *rig) playFault(ctx context.Context, index int, fault *schedule.Fault) {
+// injectFault injects one fault. If that fails, the run continues, and the failure is recorded with the unexpected
+// exits, so that the run has a finding.
+func (r *testRun) injectFault(ctx context.Context, index int, fault *schedule.Fault) {
 	if !ctxtime.Sleep(ctx, r.untilTime(fault.StartTime())) {
 		return
 	}
@@ -41,19 +41,18 @@
 		ctxtime.Sleep(ctx, r.untilTime(fault.StartTime()+time.Duration(fault.Duration)/2))
 		r.signalSuspended(index, fault, syscall.SIGCONT)
 	}
-	ctxtime.Sleep(ctx, r.untilTime(fault.EndTime())) // a fault that has begun ends, also when the run is cancelled
+	ctxtime.Sleep(ctx, r.untilTime(fault.EndTime())) // if the run is cancelled, the fault is ended early
 	err = errors.Join(err, r.endFault(index, fault))
 	if err == nil {
 		return
 	}
-	r.options.Log.Error("fault not played", "fault", fault.String(), "err", err)
+	r.options.Log.Error("fault injection failed", "fault", fault.String(), "err", err)
 	r.recorder.record(func(h *history.History) {
-		h.UnexpectedExits = append(h.UnexpectedExits, fmt.Sprintf("%s did not come back: %v", fault.Target, err))
+		h.UnexpectedExits = append(h.UnexpectedExits, fmt.Sprintf("fault injection at %s failed: %v", fault.Target, err))
 	})
 }
 
-// beginFault begins a fault.
-func (r *rig) beginFault(index int, fault *schedule.Fault) error {
+func (r *testRun) beginFault(index int, fault *schedule.Fault) error {
 	switch fault.Kind {
 	case schedule.Kill:
 		r.byName[fault.Target].signal(syscall.SIGKILL)
@@ -75,8 +74,7 @@
 	return nil
 }
 
-// endFault ends a fault.
-func (r *rig) endFault(index int, fault *schedule.Fault) error {
+func (r *testRun) endFault(index int, fault *schedule.Fault) error {
 	switch fault.Kind {
 	case schedule.Kill, schedule.Terminate:
 		return r.byName[fault.Target].restart()
@@ -101,9 +99,9 @@
 	return nil
 }
 
-// startDuplicate suspends an instance's process and starts a second process with its name. New connections from all
-// others lead to the second process; established ones stay with the first.
-func (r *rig) startDuplicate(index int, i *instance) error {
+// startDuplicate suspends an instance's process and starts a second process with the same instance name. New
+// connections to the instance lead to the second process; established ones stay with the first.
+func (r *testRun) startDuplicate(index int, i *instance) error {
 	first := i.currentProcess()
 	i.signalProcess(first, syscall.SIGSTOP)
 	r.faults.mu.Lock()
@@ -121,8 +119,8 @@
 	return r.network.redirect(i)
 }
 
-// signalSuspended sends a signal to the process that a fault of kind DuplicateInstance suspended, and returns it.
-func (r *rig) signalSuspended(index int, fault *schedule.Fault, signal syscall.Signal) *process {
+// signalSuspended sends a signal to the process that a fault of kind DuplicateInstance has suspended, and returns it.
+func (r *testRun) signalSuspended(index int, fault *schedule.Fault, signal syscall.Signal) *process {
 	r.faults.mu.Lock()
 	first := r.faults.suspended[index]
 	r.faults.mu.Unlock()
@@ -130,24 +128,24 @@
 	return first
 }
 
-// beginPathFault adds a fault to the conditions of the paths that it affects.
-func (r *rig) beginPathFault(index int, fault *schedule.Fault) {
+// beginPathFault activates a fault on the paths that it affects.
+func (r *testRun) beginPathFault(index int, fault *schedule.Fault) {
 	r.faults.mu.Lock()
 	defer r.faults.mu.Unlock()
 	r.faults.activePathFaults[index] = *fault
 	r.updateConditions()
 }
 
-// endPathFault removes a fault from the conditions of the paths that it affects.
-func (r *rig) endPathFault(index int) {
+// endPathFault deactivates a fault on the paths that it affects.
+func (r *testRun) endPathFault(index int) {
 	r.faults.mu.Lock()
 	defer r.faults.mu.Unlock()
 	delete(r.faults.activePathFaults, index)
 	r.updateConditions()
 }
 
-// updateConditions sets the conditions of all paths to those of all active faults. The caller holds faults.mu.
-func (r *rig) updateConditions() {
+// updateConditions sets the conditions of all paths according to the active faults. The caller holds faults.mu.
+func (r *testRun) updateConditions() {
 	for ends, path := range r.network.paths {
 		var conditions relay.Conditions
 		for _, fault := range r.faults.activePathFaults {
@@ -165,8 +163,8 @@
 	return ends == path || fault.Bidirectional && ends.reverse() == path
 }
 
-// addConditions adds the conditions of a fault to those of others. Of several faults of one kind the most severe one
-// counts.
+// addConditions adds the conditions of a fault to those of other faults. The most severe fault of each kind takes
+// precedence.
 func addConditions(conditions *relay.Conditions, fault *schedule.Fault) {
 	switch fault.Kind {
 	case schedule.Partition:
--- a/internal/faulttest/faulttest.go
+++ b/internal/faulttest/faulttest.go
@@ -1,7 +1,7 @@
-// Package faulttest runs fault tests over real processes: instances of pinedale-proxy, servers in a process of their
-// own, and clients whose requests follow from a seed. A relay on each network path between them injects the faults of
-// a schedule. What clients, servers and relays observe is recorded as a history, which is then checked against the
-// rules that hold over all processes.
+// Package faulttest runs fault tests on real processes: instances of pinedale-proxy, one process with all servers, and
+// clients whose requests are drawn from a seed. All traffic between them passes relays, which inject the faults of a
+// schedule. What clients, servers and relays observe is recorded as a history, which is then checked against the rules
+// that hold for the whole cluster.
 package faulttest
 
 import (
@@ -19,19 +19,19 @@
 type Options struct {
 	Schedule       *schedule.Schedule
 	Program        string // path of pinedale-proxy
-	UpgradeProgram string // path of another build of it, for faults of kind Upgrade; Program if empty
+	UpgradeProgram string // path of another build of pinedale-proxy, for faults of kind Upgrade; Program if empty
 	Dir            string // existing directory for configuration files and logs
 	Log            *slog.Logger
 
-	// afterLoad, if set, is called once load and faults are over and before replicas are compared. It is for tests.
-	afterLoad func(context.Context, *rig) error
+	// afterLoad, if set, is called by tests after load and faults have ended and before replicas are compared.
+	afterLoad func(context.Context, *testRun) error
 }
 
-// rig is one run: its processes, the network between them, and the history. The fields that start fills are not
-// changed afterwards.
-type rig struct {
+// testRun is one run of a fault test: its processes, the network between them, and the history. The fields that start
+// sets do not change afterwards.
+type testRun struct {
 	options   Options
-	loadStart time.Time // all times of the history count from it
+	loadStart time.Time // all times of the history are relative to it
 
 	servers *serverProcess
 	keyFile string // holds the key that the instances share
@@ -45,9 +45,9 @@
 	recorder recorder
 }
 
-// newRig returns a rig without processes.
-func newRig(options Options) *rig {
-	return &rig{
+// newTestRun returns a run that has not started any process.
+func newTestRun(options Options) *testRun {
+	return &testRun{
 		options: options,
 		byName:  map[string]*instance{},
 		network: newNetwork(options.Schedule.Seed),
@@ -59,13 +59,13 @@
 	}
 }
 
-// Run plays a schedule and returns what was observed. It returns an error if the run itself failed; violations of
-// the rules are findings of the history.
+// Run runs a schedule and returns what was observed. It returns an error only if the run itself failed: violations of
+// the rules are reported by History.Check.
 func Run(ctx context.Context, options Options) (*history.History, error) {
 	if err := options.Schedule.Validate(); err != nil {
 		return nil, err
 	}
-	r := newRig(options)
+	r := newTestRun(options)
 	defer r.stop()
 	if err := r.start(); err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	r.loadStart = time.Now()
-	r.playUnderLoad(ctx)
+	r.runUnderLoad(ctx)
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -92,14 +92,14 @@
 	return &r.recorder.history, nil
 }
 
-// playUnderLoad plays the faults under the clients' load, and returns once both are over.
-func (r *rig) playUnderLoad(ctx context.Context) {
+// runUnderLoad injects the faults while clients send requests, and returns once both have ended.
+func (r *testRun) runUnderLoad(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var observers, faults sync.WaitGroup
 	observers.Go(func() { r.observeViews(ctx) })
 	observers.Go(func() { observeStalls(ctx, r.recordStall) })
-	faults.Go(func() { r.playFaults(ctx) })
+	faults.Go(func() { r.injectFaults(ctx) })
 	r.generateLoad(ctx)
 	faults.Wait()
 	cancel()
@@ -107,7 +107,7 @@
 }
 
 // collect adds to the history what instances, servers and discovery have recorded during the run.
-func (r *rig) collect(ctx context.Context) error {
+func (r *testRun) collect(ctx context.Context) error {
 	recorded := &r.recorder.history
 	for _, instance := range r.instances {
 		status, err := r.fetchStatus(ctx, instance, statusTimeout)
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// sinceLoadStart returns the present time of the history.
-func (r *rig) sinceLoadStart() time.Duration { return time.Since(r.loadStart) }
+// sinceLoadStart returns the current time as a time of the history.
+func (r *testRun) sinceLoadStart() time.Duration { return time.Since(r.loadStart) }
 
-// untilTime returns the time left until a time of the history.
-func (r *rig) untilTime(at time.Duration) time.Duration { return time.Until(r.loadStart.Add(at)) }
+// untilTime returns the time that is left until a time of the history.
+func (r *testRun) untilTime(at time.Duration) time.Duration { return time.Until(r.loadStart.Add(at)) }
--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -21,7 +21,7 @@
 	"pinedale/internal/tomlfile"
 )
 
-// The programs that TestMain builds: pinedale-proxy, and another build of it.
+// The programs that TestMain builds: pinedale-proxy, and a build of it with another name.
 var proxyProgram, upgradeProgram string
 
 func TestMain(m *testing.M) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// buildProxy builds pinedale-proxy at a path, with the name of the build.
+// buildProxy builds pinedale-proxy at a path, with the given build name.
 func buildProxy(path, build string) error {
 	cmd := exec.Command("go", "build", "-ldflags", "-X pinedale/internal/app.Build="+build, "-o", path,
 		"pinedale/cmd/pinedale-proxy")
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// testSchedules returns the schedules that CI plays: two that are drawn from seeds, and the difficult cases of
-// testdata. Many more are played by pinedale-faulttest.
+// testSchedules returns the schedules that CI runs: two that are drawn from seeds, and the difficult cases of testdata.
+// Command pinedale-faulttest runs many more.
 func testSchedules(t *testing.T) []*schedule.Schedule {
 	t.Helper()
 	const drawnDuration = 6 * time.Second
@@ -87,8 +87,8 @@
 	return schedules
 }
 
-// maxConcurrentSchedules bounds the schedules that are played at the same time: each has four or five instances, which
-// close a connection whose request takes more than two seconds to arrive.
+// maxConcurrentSchedules bounds the schedules that run at the same time. Each of them has four or five instances, which
+// close a connection if a request takes more than two seconds to arrive; a busier machine would exceed that.
 const maxConcurrentSchedules = 3
 
 func TestFleetUnderFaults(t *testing.T) {
@@ -119,7 +119,7 @@
 					checkDrainObserved(t, &recorded.Drains[i], s.Instances)
 				}
 				if summary := recorded.Summarize(); summary.Effects < 100 || summary.Served == 0 {
-					t.Errorf("the load did not run: %+v", summary)
+					t.Errorf("summary %+v, want at least 100 effects and one served", summary)
 				}
 				checkHistoryFile(t, filepath.Join(dir, "run.json"), recorded)
 				checkReport(t, filepath.Join(dir, "page.html"), recorded)
@@ -129,14 +129,14 @@
 }
 
 const (
-	reuseTimeout  = time.Minute           // for all instances to send to the servers that have drained
+	reuseTimeout  = time.Minute           // for all instances to send requests to the servers that have drained
 	reuseInterval = 10 * time.Millisecond // between two requests to the same instance
 )
 
-// waitServersReused sends requests to each instance until it has forwarded one to each server that drained
-// during the run, after the end of the drain. The load alone does not guarantee that: of the few requests that an
-// instance gets before and after a drain, possibly none is forwarded to that server.
-func waitServersReused(ctx context.Context, r *rig) error {
+// waitServersReused sends requests to each instance until it has forwarded one to each server that drained during the
+// run, after the end of the drain. The load alone does not guarantee that: an instance gets few requests before and
+// after a drain, and possibly forwards none of them to that server.
+func waitServersReused(ctx context.Context, r *testRun) error {
 	ctx, cancel := context.WithTimeout(ctx, reuseTimeout)
 	defer cancel()
 	httpClient := newHTTPClient()
@@ -151,11 +151,11 @@
 }
 
 // waitServerReused sends requests to one instance until it has forwarded one to the server after its drain.
-func waitServerReused(ctx context.Context, r *rig, httpClient *http.Client, instance string, drain drain) error {
+func waitServerReused(ctx context.Context, r *testRun, httpClient *http.Client, instance string, drain drain) error {
 	path := r.network.paths[endpoints{instance, drain.server}]
 	drainEnd := r.loadStart.Add(drain.end)
-	class := &requestClasses[0] // idempotent without a key: any server may serve it
-	requester := &client{rig: r, http: httpClient, effect: &effect{key: "reuse-" + drain.server, class: class}}
+	class := &requestClasses[0] // idempotent without a key: any server may execute it
+	requester := &client{testRun: r, http: httpClient, effect: &effect{key: "reuse-" + drain.server, class: class}}
 	for number := 0; ; number++ {
 		arrivals := path.Arrivals()
 		if len(arrivals) > 0 && arrivals[len(arrivals)-1].After(drainEnd) {
@@ -167,7 +167,7 @@
 			return err
 		}
 		if response, err := httpClient.Do(request); err == nil {
-			response.Body.Close() // any response will do: only the server that was chosen counts
+			response.Body.Close() // the status does not matter, only to which server the request was forwarded
 		}
 		if !ctxtime.Sleep(ctx, reuseInterval) {
 			return fmt.Errorf("%s forwarded none of %d requests to %s within %v after its drain",
@@ -176,8 +176,8 @@
 	}
 }
 
-// checkDrainObserved fails unless the drain has ended, and each instance was notified of it and has sent to the server
-// after its end: a drain that was not observed cannot break a rule.
+// checkDrainObserved fails unless the drain has ended, and each instance was notified of it and sent data to the server
+// after its end. Otherwise the run would not have tested the rule DrainsHonoured.
 func checkDrainObserved(t *testing.T, drain *history.Drain, instances int) {
 	t.Helper()
 	lastSent := map[string]time.Duration{}
@@ -207,7 +207,8 @@
 		return
 	}
 	if len(read.Attempts) != len(recorded.Attempts) || len(read.Schedule.Faults) != len(recorded.Schedule.Faults) {
-		t.Errorf("the history was read as %+v", read)
+		t.Errorf("read %d attempts and %d faults, want %d and %d", len(read.Attempts), len(read.Schedule.Faults),
+			len(recorded.Attempts), len(recorded.Schedule.Faults))
 	}
 }
 
@@ -256,6 +257,6 @@
 		t.Fatal(err)
 	}
 	if err := WriteHistory(filepath.Join(file, "below"), &history.History{}); err == nil {
-		t.Error("a history was written below a file")
+		t.Error("WriteHistory succeeded for a path below a file")
 	}
 }
--- a/internal/faulttest/history/check.go
+++ b/internal/faulttest/history/check.go
@@ -12,29 +12,29 @@
 	"pinedale/internal/faulttest/schedule"
 )
 
-// Rule is a rule that every history has to keep.
+// Rule is a rule that every history must satisfy.
 type Rule string
 
 // The rules.
 const (
 	AtMostOnce        Rule = "no effect twice"       // effects with a key are executed at most once
-	SuccessIsExecuted Rule = "served is done"        // an effect that was answered with success was executed
+	SuccessIsExecuted Rule = "served is done"        // an effect with a successful response was executed
 	OneResponse       Rule = "one final answer each" // no attempt loses its response unless a fault explains it
-	DrainsHonoured    Rule = "drains honoured"       // instances send nothing to servers that they know to drain
+	DrainsHonoured    Rule = "drains honoured"       // instances send nothing to servers that they know to be draining
 	ReplicasConverge  Rule = "copies converge"       // replicas become equal after the last fault
-	NoUnexpectedExits Rule = "no crash"              // instances exit only when the run makes them
+	NoUnexpectedExits Rule = "no crash"              // instances exit only if the run makes them exit
 )
 
-// UnansweredAfter is how long after its deadline an attempt counts as unanswered. It is long, since the machines that
-// run fault tests are busy: a response that is late is not lost.
+// UnansweredAfter is how long after its deadline an attempt counts as unanswered. It is long because the machines that
+// run fault tests are busy: a late response is not a lost one.
 const UnansweredAfter = 5 * time.Second
 
 const (
 	// minConnectionStall is the shortest stall that explains a broken connection.
 	minConnectionStall = 500 * time.Millisecond
 
-	// drainGracePeriod is how long an instance may send data to a server after it was notified of the drain: it
-	// still has to process the list, and completes requests that it has begun to write.
+	// drainGracePeriod is how long an instance may still send data to a server after it was notified of the drain: it
+	// has to process the list, and completes requests that it has begun to write.
 	drainGracePeriod = time.Second
 )
 
@@ -47,7 +47,7 @@
 // String returns the finding as one line.
 func (f Finding) String() string { return string(f.Rule) + ": " + f.Text }
 
-// Check returns all violations of the rules, in the order of the rules above except that the findings of
+// Check returns all violations of the rules, in the order in which the rules are declared, except that the findings of
 // SuccessIsExecuted and OneResponse are in the order of the attempts.
 func (h *History) Check() []Finding {
 	return slices.Concat(
@@ -80,7 +80,7 @@
 				continue
 			}
 			start, end = min(start, attempt.Requested), max(end, attempt.Ended)
-			fmt.Fprintf(&text, "; try %d at %s, %v to %v, %s %d", attempt.Number, attempt.Instance,
+			fmt.Fprintf(&text, "; attempt %d at %s, %v to %v, %s %d", attempt.Number, attempt.Instance,
 				attempt.Requested.Round(time.Millisecond), attempt.Ended.Round(time.Millisecond),
 				attempt.Outcome, attempt.Status)
 		}
@@ -99,11 +99,11 @@
 		switch {
 		case attempt.HasKey && attempt.succeeded() && h.Executions[attempt.Effect] == 0:
 			found = append(found, Finding{SuccessIsExecuted, fmt.Sprintf(
-				"%s was answered 200 by %s at %v, and no server has done it",
+				"%s was answered 200 by %s at %v, but no server executed it",
 				attempt.Effect, attempt.Instance, attempt.Ended)})
 		case attempt.hasNoResponse() && !h.faultExplains(attempt) && !h.stallExplains(attempt):
 			found = append(found, Finding{OneResponse, fmt.Sprintf(
-				"%s, try %d at %s from %v to %v: %s, and nothing befell that instance",
+				"%s, attempt %d at %s from %v to %v: %s, and no fault or stall explains it",
 				attempt.Effect, attempt.Number, attempt.Instance, attempt.Requested, attempt.Ended, attempt.Outcome)})
 		}
 	}
@@ -113,11 +113,11 @@
 // succeeded reports whether the attempt was answered with success.
 func (a *Attempt) succeeded() bool { return a.Outcome == Answered && a.Status == http.StatusOK }
 
-// hasNoResponse reports whether the client waited for a response and got none.
+// hasNoResponse reports whether the client waited for a response and received none.
 func (a *Attempt) hasNoResponse() bool { return a.Outcome == Unanswered || a.Outcome == Broken }
 
-// faultExplains reports whether a fault may be the reason for which the attempt got no response: a fault of its
-// instance, or of the path from clients to it, that overlaps the attempt or ended shortly before.
+// faultExplains reports whether a fault may be the reason why the attempt got no response: a fault of the instance, or
+// of the path from clients to it, that overlaps the attempt or ended at most UnansweredAfter before it.
 func (h *History) faultExplains(attempt *Attempt) bool {
 	return slices.ContainsFunc(h.Schedule.Faults, func(fault schedule.Fault) bool {
 		if fault.StartTime() > attempt.Ended || fault.EndTime()+UnansweredAfter < attempt.Requested {
@@ -129,7 +129,7 @@
 	})
 }
 
-// stallExplains reports whether a stall may be the reason for which the attempt got no response.
+// stallExplains reports whether a stall may be the reason why the attempt got no response.
 func (h *History) stallExplains(attempt *Attempt) bool {
 	return h.stalledBetween(attempt.Requested, attempt.Ended, minConnectionStall)
 }
@@ -145,15 +145,15 @@
 				continue
 			}
 			found = append(found, Finding{DrainsHonoured, fmt.Sprintf(
-				"%s wrote to %s at %v, and knew at %v that it drains until %v",
+				"%s sent data to %s at %v, although it was notified at %v of the drain, which lasted until %v",
 				instance, drain.Server, late, drain.Notified[instance], drain.End)})
 		}
 	}
 	return found
 }
 
-// sentLate returns when an instance sent data to the server although it had been notified of the drain, and no
-// fault explains that.
+// sentLate returns the times at which an instance sent data to the server although it had been notified of the drain,
+// and no fault explains it.
 func (d *Drain) sentLate(schedule *schedule.Schedule, instance string) []time.Duration {
 	notified, ok := d.Notified[instance]
 	if !ok {
@@ -172,7 +172,7 @@
 }
 
 // faultExplains reports whether a fault may have delayed data that the instance sent before it was notified: a
-// suspended process continues what it was doing, and a path delivers what it held back.
+// suspended process continues to send once it is resumed, and a path delivers data that it held back.
 func (d *Drain) faultExplains(faults []schedule.Fault, instance string, notified, sent time.Duration) bool {
 	return slices.ContainsFunc(faults, func(fault schedule.Fault) bool {
 		if fault.Target != instance {
--- a/internal/faulttest/history/golden_test.go
+++ b/internal/faulttest/history/golden_test.go
@@ -14,8 +14,8 @@
 	"pinedale/internal/tomlfile"
 )
 
-// update rewrites the golden file. The format of stored histories may not change: it is for a field that is added, and
-// the fields that exist stay as they are.
+// update rewrites the golden file. The format of stored histories must not change: use the flag only after adding a
+// field, and check that all existing fields stay as they are.
 var update = flag.Bool("update", false, "rewrite the golden file")
 
 // goldenHistory returns a history in which every field is set.
@@ -56,7 +56,7 @@
 	}
 }
 
-// goldenAttempt returns an attempt without a response, with successive times.
+// goldenAttempt returns an attempt without a response, with consecutive times.
 func goldenAttempt(effect string, number int, requested time.Duration, outcome Outcome) Attempt {
 	return Attempt{
 		Effect:    effect,
@@ -102,8 +102,8 @@
 	}
 }
 
-// requireFieldsSet fails for each field that none of the values sets: the golden file does not cover it. The elements
-// of a slice count as one set of values.
+// requireFieldsSet fails for each field that is zero in all values, since the golden file does not cover such a field.
+// The elements of a slice count as one set of values.
 func requireFieldsSet(t *testing.T, path string, values []reflect.Value) {
 	t.Helper()
 	var found []reflect.Value
--- a/internal/faulttest/history/history.go
+++ b/internal/faulttest/history/history.go
@@ -1,6 +1,6 @@
-// Package history holds what a fault test observes and checks it against the rules that the software under test has
-// to keep. All times in a history count from the start of the load, on the clock of the process that runs the test.
-// The package does no I/O.
+// Package history records what a fault test observes and checks it against the rules that the software under test must
+// satisfy. All times in a history are relative to the start of the load, on the clock of the process that runs the
+// test. The package does no I/O.
 package history
 
 import (
@@ -15,9 +15,9 @@
 
 // The outcomes of attempts.
 const (
-	Answered   Outcome = "answered" // with a complete response
-	Cancelled  Outcome = "left"     // by the client, which gave up early
-	Unanswered Outcome = "silent"   // without a response until UnansweredAfter had passed since the deadline
+	Answered   Outcome = "answered" // the client received a complete response
+	Cancelled  Outcome = "left"     // the client cancelled the request early
+	Unanswered Outcome = "silent"   // no response within UnansweredAfter after the deadline
 	Broken     Outcome = "broken"   // the connection failed, or could not be established
 )
 
@@ -26,10 +26,10 @@
 	Effect    string        `json:"effect"`
 	Class     string        `json:"class"`
 	HasKey    bool          `json:"keyed"`
-	Number    int           `json:"number"` // among the attempts at the effect, from 0
+	Number    int           `json:"number"` // of the attempt at its effect, from 0
 	Instance  string        `json:"instance"`
 	Requested time.Duration `json:"asked"`
-	Deadline  time.Duration `json:"deadline"` // until which the client wants a response
+	Deadline  time.Duration `json:"deadline"` // after which the client has no use for a response
 	Ended     time.Duration `json:"ended"`
 	Outcome   Outcome       `json:"kind"`
 	Status    int           `json:"code,omitempty"` // of the response, for Answered
@@ -50,34 +50,34 @@
 	Sent     map[string][]time.Duration `json:"sent"`  // when each instance sent data to the server, during the run
 }
 
-// Stall is a period in which the process that runs clients and relays, or the process of the servers, was not
-// scheduled. Connections that broke during a stall are not attributed to instances. Nor are effects that servers
-// executed twice: a stall can delay a request for longer than the servers remember its key.
+// Stall is a period in which the process that runs clients and relays, or the server process, was not scheduled.
+// Connections that broke during a stall are not blamed on instances, and neither are effects that servers executed
+// twice: a stall can delay a request for longer than the servers store its key.
 type Stall struct {
 	Start time.Duration `json:"from"`
 	End   time.Duration `json:"until"`
 }
 
-// MinStall is the length of the shortest stall that is recorded. Retries leave a margin of little more than that in
-// the period for which servers remember a key.
+// MinStall is the length of the shortest stall that is recorded. It is slightly less than the margin that retries leave
+// in the period for which servers store a key.
 const MinStall = 200 * time.Millisecond
 
-// History is all that was observed in one run.
+// History holds everything that was observed in one run.
 type History struct {
 	Schedule           *schedule.Schedule `json:"schedule"`
 	Attempts           []Attempt          `json:"tries"`
 	Views              []View             `json:"views"`
 	Executions         map[string]int     `json:"done"`    // of each effect, counted by the servers
-	DuplicateEffects   []string           `json:"twice"`   // effects that must be executed at most once and were not
+	DuplicateEffects   []string           `json:"twice"`   // effects executed more often than their class allows
 	ConvergenceTime    time.Duration      `json:"settled"` // from the end of load and faults until all replicas were equal
-	ReplicaDifferences []string           `json:"differ"`  // that remained when the run gave up waiting
+	ReplicaDifferences []string           `json:"differ"`  // left when the run stopped waiting for convergence
 	UnexpectedExits    []string           `json:"ends"`    // of instances
 	LeaseCounts        []string           `json:"claims"`  // lease statistics of each instance's last process
 	Drains             []Drain            `json:"drains"`
 	Stalls             []Stall            `json:"stalls"`
 }
 
-// stalledBetween reports whether a stall longer than minLength overlaps a period.
+// stalledBetween reports whether a stall longer than minLength overlaps the period from start to end.
 func (h *History) stalledBetween(start, end, minLength time.Duration) bool {
 	return slices.ContainsFunc(h.Stalls, func(stall Stall) bool {
 		overlaps := stall.Start <= end && stall.End >= start
--- a/internal/faulttest/history/history_test.go
+++ b/internal/faulttest/history/history_test.go
@@ -35,11 +35,11 @@
 	}
 }
 
-// neverNotified is for drainOf.
+// neverNotified is passed to drainOf for an instance that was not notified of the drain.
 const neverNotified = -1
 
-// drainOf returns a drain of s-1 until second 8, of which an instance was notified at one second, unless that is
-// neverNotified, and during which it sent data at another.
+// drainOf returns a drain of s-1 until second 8. The instance was notified of it at second notified, unless that is
+// neverNotified, and sent data to the server at second sent.
 func drainOf(instance string, notified, sent int) Drain {
 	drain := Drain{
 		Server:   "s-1",
@@ -61,8 +61,8 @@
 	}
 }
 
-// Each rule is violated by a history that breaks it, and by no other. A fault or a stall excuses an instance only
-// where it may be the cause.
+// Each history breaks at most one rule, and Check must report that rule and no other. A fault or a stall excuses an
+// instance only where it may be the cause.
 func TestCheckReportsExactlyTheViolatedRule(t *testing.T) {
 	faults := []schedule.Fault{
 		faultOf(schedule.Kill, "i-1", "", 10, 1),
@@ -278,10 +278,10 @@
 		UnexpectedExits:    []string{"i-5: exit status 2"},
 	}
 	want := []string{
-		"no effect twice: e; try 0 at i-1, 1s to 2s, answered 200",
-		"served is done: e was answered 200 by i-1 at 2s, and no server has done it",
-		"one final answer each: f, try 2 at i-2 from 3s to 4s: broken, and nothing befell that instance",
-		"drains honoured: i-3 wrote to s-1 at [7s], and knew at 5s that it drains until 8s",
+		"no effect twice: e; attempt 0 at i-1, 1s to 2s, answered 200",
+		"served is done: e was answered 200 by i-1 at 2s, but no server executed it",
+		"one final answer each: f, attempt 2 at i-2 from 3s to 4s: broken, and no fault or stall explains it",
+		"drains honoured: i-3 sent data to s-1 at [7s], although it was notified at 5s of the drain, which lasted until 8s",
 		"copies converge: s-1",
 		"no crash: i-5: exit status 2",
 	}
@@ -344,9 +344,9 @@
 	first.Add(Summary{ByStatus: map[int]int{200: 1}})
 	if first.Effects != 2 || first.Attempts != 4 || first.Served != 6 || first.Cancelled != 8 ||
 		first.Unanswered != 10 || first.Broken != 12 || first.InstanceChanges != 14 {
-		t.Errorf("counts %+v", first)
+		t.Errorf("counts %+v, want twice those of the second summary", first)
 	}
 	if first.ByStatus[200] != 9 || first.ByStatus[502] != 9 {
-		t.Errorf("responses by status %v", first.ByStatus)
+		t.Errorf("responses by status %v, want 9 of status 200 and 9 of status 502", first.ByStatus)
 	}
 }
--- a/internal/faulttest/history/summary.go
+++ b/internal/faulttest/history/summary.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Summary counts the attempts of a history, or of several.
+// Summary counts the attempts of one or more histories.
 type Summary struct {
-	Effects         int         // that clients requested
+	Effects         int         // requested by clients
 	Attempts        int         // at effects
-	Served          int         // effects that a client got a successful response for
+	Served          int         // effects for which a client received a successful response
 	ByStatus        map[int]int // responses by HTTP status
 	Cancelled       int
 	Unanswered      int
 	Broken          int
-	InstanceChanges int // attempts with a key at another instance than the attempt before
+	InstanceChanges int // attempts with a key at another instance than the previous attempt
 
 	MedianLatency time.Duration // of successful attempts
 	P99Latency    time.Duration // of successful attempts
@@ -26,7 +26,7 @@
 	number int
 }
 
-// Summarize counts the attempts of the history.
+// Summarize summarizes the attempts of the history.
 func (h *History) Summarize() Summary {
 	summary := Summary{Attempts: len(h.Attempts), ByStatus: map[int]int{}}
 	served := map[string]bool{}
@@ -66,7 +66,7 @@
 	}
 }
 
-// countInstanceChanges counts the attempts with a key at another instance than the attempt before.
+// countInstanceChanges counts the attempts with a key that went to another instance than the previous attempt.
 func (h *History) countInstanceChanges() int {
 	instances := map[attemptID]string{}
 	for i := range h.Attempts {
@@ -84,7 +84,7 @@
 	return changes
 }
 
-// Add adds the counts of another summary. Latencies stay as they are.
+// Add adds the counts of another summary. It does not change the latencies.
 func (s *Summary) Add(other Summary) {
 	s.Effects += other.Effects
 	s.Attempts += other.Attempts
--- a/internal/faulttest/historyfile.go
+++ b/internal/faulttest/historyfile.go
@@ -21,7 +21,7 @@
 	return os.WriteFile(path, data, 0o644)
 }
 
-// ReadHistory reads a file that WriteHistory has written. Its error is a *tomlfile.Error if the schedule is invalid.
+// ReadHistory reads a file written by WriteHistory. Its error wraps a *tomlfile.Error if the schedule is invalid.
 func ReadHistory(path string) (*history.History, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/faulttest/instance.go
+++ b/internal/faulttest/instance.go
@@ -12,11 +12,11 @@
 	"pinedale/internal/standin/ports"
 )
 
-// exitTimeout bounds the graceful shutdown of an instance. It completes the requests that it has accepted, whose
+// exitTimeout bounds the graceful shutdown of an instance, which completes the requests that it has accepted. Their
 // deadlines are at most requestDeadline away.
 const exitTimeout = 10 * time.Second
 
-// instance is an instance of pinedale-proxy. It has a new process after each restart.
+// instance is an instance of pinedale-proxy. Each restart gives it a new process.
 type instance struct {
 	name             string
 	logFile          *os.File
@@ -24,7 +24,7 @@
 	discoveryAddress string            // of the relay to its discovery service
 
 	mu            sync.Mutex
-	httpAddress   string // these are host:port, of the present process
+	httpAddress   string // the addresses are host:port, of the current process
 	peerAddress   string
 	statusAddress string
 	configFile    string
@@ -36,11 +36,11 @@
 // process is one process of an instance.
 type process struct {
 	cmd          *exec.Cmd
-	exited       chan struct{} // is closed once the process has exited
+	exited       chan struct{} // closed once the process has exited
 	exitExpected bool          // guarded by the instance's mutex
 }
 
-// start starts a new process. A process that was started before must have exited, or be replaced on purpose.
+// start starts a new process. Any earlier process must have exited, unless a fault duplicates the instance.
 func (i *instance) start() error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -53,35 +53,35 @@
 	}
 	started := &process{cmd: cmd, exited: make(chan struct{})}
 	i.current = started
-	go i.awaitExit(started)
+	go i.recordExit(started)
 	return nil
 }
 
-// awaitExit waits until a process exits and records the exit if the run did not cause it.
-func (i *instance) awaitExit(p *process) {
+// recordExit waits until a process has exited, and records the exit if the run did not cause it.
+func (i *instance) recordExit(p *process) {
 	defer close(p.exited)
 	err := p.cmd.Wait()
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if !p.exitExpected {
-		i.failures = append(i.failures, fmt.Sprintf("%s ended by itself: %v", i.name, err))
+		i.failures = append(i.failures, fmt.Sprintf("%s exited unexpectedly: %v", i.name, err))
 	}
 }
 
-// restart starts a new process once the present one has exited.
+// restart starts a new process once the current one has exited.
 func (i *instance) restart() error {
 	i.waitExit()
 	return i.start()
 }
 
-// currentProcess returns the present process, nil before the first start.
+// currentProcess returns the current process, or nil before the first start.
 func (i *instance) currentProcess() *process {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.current
 }
 
-// currentStatusAddress returns the address of the present process's status.
+// currentStatusAddress returns the address at which the current process serves its status.
 func (i *instance) currentStatusAddress() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -95,17 +95,17 @@
 	return slices.Clone(i.failures)
 }
 
-// setProgram sets the program of the processes that are started from now on.
+// setProgram sets the program of processes that are started later.
 func (i *instance) setProgram(path string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.program = path
 }
 
-// signal sends a signal to the present process.
+// signal sends a signal to the current process.
 func (i *instance) signal(signal syscall.Signal) { i.signalProcess(i.currentProcess(), signal) }
 
-// signalProcess sends a signal to a process of the instance.
+// signalProcess sends a signal to one process of the instance.
 func (i *instance) signalProcess(p *process, signal syscall.Signal) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -115,7 +115,7 @@
 	_ = p.cmd.Process.Signal(signal) // fails if the process has exited
 }
 
-// waitExit waits until the present process has exited, and kills it after exitTimeout.
+// waitExit waits until the current process has exited, and kills it after exitTimeout.
 func (i *instance) waitExit() {
 	p := i.currentProcess()
 	if p == nil {
--- a/internal/faulttest/largelist/clients.go
+++ b/internal/faulttest/largelist/clients.go
@@ -18,13 +18,16 @@
 const (
 	longestDeadline = 1250 * time.Millisecond
 	dedupWindow     = 3 * time.Second
-	leaverRatio     = 0.1             // of requests whose client leaves early
-	maxRest         = time.Second     // of a connection: sidecars close idle ones after 2 s
-	dialTimeout     = 5 * time.Second // the sidecar may be stopped
-	uneven          = 2.0             // ratio of the busiest sidecar's traffic to the mean, 0 of it at the least busy one
+	cancelRatio     = 0.1             // ratio of requests that clients cancel early
+	maxIdleTime     = time.Second     // of a connection; sidecars close connections that are idle for 2 s
+	dialTimeout     = 5 * time.Second // long, since the sidecar may be stopped
+
+	// busiestToMeanRate is about the ratio of the highest request rate of a sidecar to the mean. The rate grows linearly
+	// with the index of the sidecar, from almost 0.
+	busiestToMeanRate = 2.0
 )
 
-// class is a class of requests with the time that its clients wait.
+// class is a class of requests.
 type class struct {
 	name     string
 	method   string
@@ -38,20 +41,20 @@
 	{name: "close", method: http.MethodPost, hasKey: true, deadline: longestDeadline},
 }
 
-// generateLoad sends requests to all sidecars for the duration of the options, and waits until the last has ended.
-func (r *rig) generateLoad(ctx context.Context) {
+// generateLoad sends requests to all sidecars for Options.Duration, and waits until the last request has ended.
+func (r *testRun) generateLoad(ctx context.Context) {
 	var load sync.WaitGroup
 	defer load.Wait()
 	n := len(r.sidecars)
 	for i, s := range r.sidecars {
-		rate := r.options.Rate * uneven * (float64(i) + 0.5) / float64(n)
+		rate := r.options.Rate * busiestToMeanRate * (float64(i) + 0.5) / float64(n)
 		random := rand.New(rand.NewPCG(r.options.Seed, uint64(100+i)))
 		load.Go(func() { r.sendTo(ctx, s, rate, random) })
 	}
 }
 
 // sendTo sends requests to one sidecar at random intervals.
-func (r *rig) sendTo(ctx context.Context, s *sidecar, rate float64, random *rand.Rand) {
+func (r *testRun) sendTo(ctx context.Context, s *sidecar, rate float64, random *rand.Rand) {
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	pool := &connPool{address: s.address}
@@ -66,11 +69,11 @@
 			id:    fmt.Sprintf("%x-%s-%d", r.options.Seed, strings.TrimPrefix(s.address, "127.0.0.1:"), n),
 			class: classes[random.IntN(len(classes))],
 		}
-		if random.Float64() < leaverRatio {
-			request.leavesAfter = time.Duration(random.Float64() * float64(request.class.deadline) / 2)
+		if random.Float64() < cancelRatio {
+			request.cancelAfter = time.Duration(random.Float64() * float64(request.class.deadline) / 2)
 		}
 		r.recorder.add(request)
-		clients.Go(func() { r.recorder.ended(request, request.send(pool)) })
+		clients.Go(func() { r.recorder.recordResult(request, request.send(pool)) })
 	}
 }
 
@@ -81,20 +84,20 @@
 	idle    []*clientConn
 }
 
-// clientConn is a connection of a client.
+// clientConn is a connection from a client to a sidecar.
 type clientConn struct {
 	net.Conn
 	reader    *bufio.Reader
-	idleSince time.Time // the zero time if it has not been used
+	idleSince time.Time // the zero time before its first use
 }
 
-// take returns an idle connection or a new one.
+// take returns an idle connection, or a new one if none is idle for less than maxIdleTime.
 func (p *connPool) take() (*clientConn, error) {
 	p.mu.Lock()
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if time.Since(c.idleSince) < maxRest {
+		if time.Since(c.idleSince) < maxIdleTime {
 			p.mu.Unlock()
 			return c, nil
 		}
@@ -127,16 +130,16 @@
 	}
 }
 
-// send plays a request and returns how it ended. A request that crosses the end of a resting connection is sent once
-// more on a new one.
+// send sends the request and returns its result. If the sidecar closes a reused connection at the moment at which the
+// request is sent on it, the request is sent again on a new connection.
 func (q *request) send(pool *connPool) result {
 	c, err := pool.take()
 	if err != nil {
 		return result{outcome: notAccepted, at: time.Now()}
 	}
-	rested := !c.idleSince.IsZero()
-	ended, unread := q.exchange(c)
-	if unread && rested {
+	reused := !c.idleSince.IsZero()
+	ended, noResponse := q.exchange(c)
+	if noResponse && reused {
 		c.Close()
 		if c, err = pool.dial(); err != nil {
 			return result{outcome: notAccepted, at: time.Now()}
@@ -151,20 +154,21 @@
 	return ended
 }
 
-// exchange sends the request on a connection. unread reports that the connection ended without a byte of response.
-func (q *request) exchange(c *clientConn) (ended result, unread bool) {
+// exchange sends the request on a connection and reads the response. noResponse reports whether the connection ended
+// before the first byte of a response.
+func (q *request) exchange(c *clientConn) (ended result, noResponse bool) {
 	if _, err := io.WriteString(c, q.text()); err != nil {
 		return result{outcome: broken, at: time.Now()}, true
 	}
 	q.sentAt = time.Now()
-	limit := q.class.deadline + answerSlack
+	limit := q.class.deadline + responseSlack
 	timeoutOutcome := unanswered
-	if q.leavesAfter > 0 {
-		limit, timeoutOutcome = q.leavesAfter, cancelled
+	if q.cancelAfter > 0 {
+		limit, timeoutOutcome = q.cancelAfter, cancelled
 	}
-	_ = c.SetReadDeadline(q.sentAt.Add(limit)) // fails where reading does
+	_ = c.SetReadDeadline(q.sentAt.Add(limit)) // if this fails, so does reading
 	_, err := c.reader.Peek(1)
-	unread = err != nil
+	noResponse = err != nil
 	if err == nil {
 		var response *http.Response
 		if response, err = http.ReadResponse(c.reader, nil); err == nil {
@@ -178,7 +182,7 @@
 	case ended.at.Sub(q.sentAt) >= limit:
 		return result{outcome: timeoutOutcome, at: ended.at}, false
 	default:
-		return result{outcome: broken, at: ended.at}, unread
+		return result{outcome: broken, at: ended.at}, noResponse
 	}
 	return ended, false
 }
@@ -190,7 +194,7 @@
 	return result{code: response.StatusCode, body: string(body), keepAlive: !response.Close}, err
 }
 
-// text returns the request as it is written.
+// text returns the request in HTTP/1.1 form.
 func (q *request) text() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s /%s/x HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: %s\r\nX-Service-Class: %s\r\n"+
--- a/internal/faulttest/largelist/largelist.go
+++ b/internal/faulttest/largelist/largelist.go
@@ -1,9 +1,9 @@
-// Package largelist runs processes of pinedale, the platform's sidecar, between thousands of servers and clients with
-// thin traffic, while discovery replaces servers in steps. Processor time is taken from the sidecars by stopping and
-// continuing their processes in short alternation. What clients and servers have recorded is checked against the
-// rules on final answers.
+// Package largelist runs processes of pinedale, the platform's sidecar, between thousands of servers and clients that
+// send few requests, while discovery replaces servers in steps. The sidecars get little processor time, because their
+// processes are stopped and continued in short alternation. What clients and servers recorded is checked: each request
+// must have one final answer.
 //
-// Servers and clients run in the process of the caller, so that all records have one clock.
+// Servers and clients run in the process of the caller, so that all records are on the same clock.
 package largelist
 
 import (
@@ -22,23 +22,23 @@
 	Seed     uint64
 	Servers  int
 	Sidecars int
-	Rate     float64       // requests a second at each sidecar, in the mean
+	Rate     float64       // mean of requests per second at each sidecar
 	Duration time.Duration // of the load
-	Release  bool          // servers are replaced during the load
+	Release  bool          // whether servers are replaced during the load
 	Throttle Throttle
 }
 
-// Throttle is the alternation in which a process runs. It always runs if Stopped is 0.
+// Throttle describes how a process is stopped and continued in turn. The process always runs if Stopped is 0.
 type Throttle struct {
 	Running time.Duration
 	Stopped time.Duration
 }
 
-// startTimeout is how long the sidecars may take to be ready.
+// startTimeout is how long the sidecars may take to become ready.
 const startTimeout = 30 * time.Second
 
-// rig is one run.
-type rig struct {
+// testRun is one run: its servers, discovery service and sidecars, and what was recorded.
+type testRun struct {
 	options   Options
 	random    *rand.Rand // of the main goroutine
 	servers   *serverGroup
@@ -47,10 +47,10 @@
 	recorder  recorder
 }
 
-// Run plays one run and returns what came of it. It returns an error if the run itself failed; broken rules are
-// findings of the report.
+// Run does one run and returns its report. It returns an error only if the run itself failed: violations of the
+// rules are in Report.Losses.
 func Run(ctx context.Context, options Options) (*Report, error) {
-	r := &rig{options: options, random: rand.New(rand.NewPCG(options.Seed, 1))}
+	r := &testRun{options: options, random: rand.New(rand.NewPCG(options.Seed, 1))}
 	r.recorder.requests = map[string]*request{}
 	r.servers = newServerGroup(&r.recorder)
 	defer r.servers.close()
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	defer r.discovery.Close()
-	r.play(ctx)
+	r.runLoad(ctx)
 	r.stopSidecars()
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -67,8 +67,8 @@
 	return r.report(), nil
 }
 
-// start starts servers, discovery and sidecars, and waits until these are ready.
-func (r *rig) start(ctx context.Context) error {
+// start starts servers, discovery and sidecars, and waits until the sidecars are ready.
+func (r *testRun) start(ctx context.Context) error {
 	hosts, err := r.servers.start(r.options.Servers, time.Time{})
 	if err != nil {
 		return err
@@ -93,8 +93,9 @@
 	return nil
 }
 
-// play plays load and release with the sidecars throttled, and returns once the last request has ended.
-func (r *rig) play(ctx context.Context) {
+// runLoad generates the load, with a release if there is one, while the sidecars are throttled and observed. It returns
+// once the last request has ended.
+func (r *testRun) runLoad(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var background sync.WaitGroup
@@ -105,13 +106,13 @@
 		background.Go(func() { s.observe(ctx) })
 	}
 	if r.options.Release {
-		background.Go(func() { r.playRelease(ctx) })
+		background.Go(func() { r.runRelease(ctx) })
 	}
 	r.generateLoad(ctx)
 }
 
-// stopSidecars kills the sidecars and waits for their ends.
-func (r *rig) stopSidecars() {
+// stopSidecars kills the sidecars and waits until they have exited.
+func (r *testRun) stopSidecars() {
 	for _, s := range r.sidecars {
 		s.kill()
 	}
--- a/internal/faulttest/largelist/largelist_test.go
+++ b/internal/faulttest/largelist/largelist_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/goleak"
 )
 
-// sidecarProgram is pinedale, which TestMain builds as the platform does.
+// sidecarProgram is the path of pinedale, which TestMain builds in the same way as the platform.
 var sidecarProgram string
 
 func TestMain(m *testing.M) {
@@ -33,13 +33,14 @@
 	os.Exit(code)
 }
 
-// The fleets that are compared: the usual size, and what production adds.
+// The numbers of servers that are compared: the usual size of the list, and the size in production.
 const (
 	usualServers = 200
 	manyServers  = 3200
 )
 
-// The page "What production adds": what a sidecar may need with manyServers, from what it needs with usualServers.
+// The bounds of the page "What production adds": how much more a sidecar may need with manyServers than with
+// usualServers.
 const (
 	minServedRatio       = 0.85
 	processorRatio       = 1.4
@@ -62,7 +63,7 @@
 	testSeed     = 1
 )
 
-// run plays a release between n servers.
+// run runs a release with n servers.
 func run(t *testing.T, n int, throttle Throttle) *Report {
 	t.Helper()
 	report, err := Run(t.Context(), Options{
@@ -85,21 +86,21 @@
 	return report
 }
 
-// servedRatio is the ratio of requests served, of those whose clients stayed.
+// servedRatio returns the ratio of served requests among those that were not cancelled.
 func (p *Report) servedRatio() float64 { return float64(p.Served) / float64(p.Requests-p.Cancelled) }
 
 func TestEveryRequestIsAnsweredWithThousandsOfServersAndLittleProcessorTime(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	little := Throttle{Running: 2 * time.Millisecond, Stopped: 30 * time.Millisecond}
-	usual, large := run(t, usualServers, little), run(t, manyServers, little)
+	throttle := Throttle{Running: 2 * time.Millisecond, Stopped: 30 * time.Millisecond}
+	usual, large := run(t, usualServers, throttle), run(t, manyServers, throttle)
 	for _, report := range []*Report{usual, large} {
 		if len(report.Losses) > 0 {
 			t.Errorf("%d of %d requests lost", len(report.Losses), report.Requests)
 		}
 	}
 	if large.servedRatio() < minServedRatio*usual.servedRatio() {
-		t.Errorf("served %.3f with %d servers, %.3f with %d", large.servedRatio(), manyServers, usual.servedRatio(),
-			usualServers)
+		t.Errorf("ratio of served requests: %.3f with %d servers, %.3f with %d, want at least %v of the latter",
+			large.servedRatio(), manyServers, usual.servedRatio(), usualServers, minServedRatio)
 	}
 }
 
@@ -122,7 +123,7 @@
 			testSidecars * (listExtra + listPerThousand*thousands)},
 	} {
 		if bound := c.ratio*c.usual + c.extra; c.large > bound {
-			t.Errorf("%s: %.4g with %d servers, %.4g with %d, at most %.4g allowed", c.name, c.large, manyServers,
+			t.Errorf("%s: %.4g with %d servers, %.4g with %d servers, want at most %.4g", c.name, c.large, manyServers,
 				c.usual, usualServers, bound)
 		}
 	}
@@ -132,6 +133,6 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(ctx, Options{Program: sidecarProgram, Dir: t.TempDir(), Servers: 1, Sidecars: 1}); err == nil {
-		t.Error("no error of a run that was cancelled")
+		t.Error("Run returned no error after its context was cancelled")
 	}
 }
--- a/internal/faulttest/largelist/release.go
+++ b/internal/faulttest/largelist/release.go
@@ -8,8 +8,8 @@
 	"pinedale/internal/standin/fakediscovery"
 )
 
-// A release replaces six in ten servers: in each step a part of them drains while new ones come ready, and is gone
-// drainTime later.
+// A release replaces six in ten servers. In each step some of them begin to drain while as many new ones become ready.
+// The draining ones are removed drainTime later.
 const (
 	releaseSteps    = 6
 	releaseInterval = 600 * time.Millisecond
@@ -18,8 +18,8 @@
 	drainTime       = 3500 * time.Millisecond
 )
 
-// playRelease replaces servers in steps until it is complete or ctx ends.
-func (r *rig) playRelease(ctx context.Context) {
+// runRelease replaces servers in steps, until the release is complete or ctx is done.
+func (r *testRun) runRelease(ctx context.Context) {
 	if !ctxtime.Sleep(ctx, releaseDelay) {
 		return
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-// initialHosts returns the servers of the first list in a random order.
-func (r *rig) initialHosts() []fakediscovery.Host {
+// initialHosts returns the servers of the first list in random order.
+func (r *testRun) initialHosts() []fakediscovery.Host {
 	r.discovery.Lock()
 	defer r.discovery.Unlock()
 	hosts := append([]fakediscovery.Host(nil), r.discovery.List.Hosts...)
--- a/internal/faulttest/largelist/report.go
+++ b/internal/faulttest/largelist/report.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	answerSlack  = 550 * time.Millisecond // after its time a request that has no final answer yet is lost
-	forwardSlack = 150 * time.Millisecond // after its end an attempt that begins is a lost request
+	responseSlack = 550 * time.Millisecond // a request without a response this long after its deadline is lost
+	forwardSlack  = 150 * time.Millisecond // an attempt that begins this long after the end of its request is a loss
 )
 
-// outcome is how a request ended at its client.
+// outcome is the result of a request as observed by its client.
 type outcome string
 
 const (
 	answered    outcome = "answered"
 	cancelled   outcome = "cancelled"    // the client closed the connection early
-	unanswered  outcome = "unanswered"   // no complete response in its time
-	broken      outcome = "broken"       // the connection ended with no complete response
-	notAccepted outcome = "not accepted" // no connection, so that it was never taken
+	unanswered  outcome = "unanswered"   // no complete response within the deadline and responseSlack
+	broken      outcome = "broken"       // the connection ended before a complete response
+	notAccepted outcome = "not accepted" // no connection could be established, so the sidecar never had the request
 )
 
-// result is the end of a request.
+// result is how and when a request ended.
 type result struct {
 	outcome   outcome
-	at        time.Time
+	at        time.Time // when the request ended
 	code      int
 	body      string
-	keepAlive bool // the connection may be used again
+	keepAlive bool // whether the connection may be reused
 }
 
-// request is a client's request with all that was recorded of it.
+// request is a client's request with all records of it.
 type request struct {
 	id          string
 	class       class
-	leavesAfter time.Duration // 0 for a client that stays
-	sentAt      time.Time     // of its last byte
+	cancelAfter time.Duration // when the client cancels the request, 0 if it does not
+	sentAt      time.Time     // when the last byte was sent
 	result      result
 
-	attempts []time.Time // when servers had read it; guarded by the recorder
+	attempts []time.Time // when servers had received it completely; guarded by the recorder's mutex
 }
 
 // recorder holds the records of clients and servers.
@@ -61,13 +61,13 @@
 	c.requests[q.id] = q
 }
 
-func (c *recorder) ended(q *request, r result) {
+func (c *recorder) recordResult(q *request, r result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q.result = r
 }
 
-func (c *recorder) attempted(id string, at time.Time) {
+func (c *recorder) recordAttempt(id string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if q := c.requests[id]; q != nil {
@@ -77,43 +77,43 @@
 	}
 }
 
-// LossKind is the way in which a request was lost.
+// LossKind is the rule that a loss violates.
 type LossKind string
 
 // The kinds of losses.
 const (
-	NoAnswer      LossKind = "no answer"                // none that is complete in its time
-	WrongAnswer   LossKind = "wrong answer"             // served with what no server made
-	AttemptAfter  LossKind = "attempt after the end"    // it began after the answer, or after the client had left
-	UnknownOrigin LossKind = "attempt without a client" // of a request that no client sent
+	NoAnswer      LossKind = "no answer"                // the client received no complete response in time
+	WrongAnswer   LossKind = "wrong answer"             // a response with status 200 did not come from a server
+	AttemptAfter  LossKind = "attempt after the end"    // an attempt began after the request had ended at the client
+	UnknownOrigin LossKind = "attempt without a client" // a server received a request that no client sent
 )
 
-// Loss is one broken rule.
+// Loss is one violation of a rule.
 type Loss struct {
 	Kind LossKind
 	Text string
 }
 
-// Report is what came of a run.
+// Report summarizes a run.
 type Report struct {
-	Requests     int
-	Served       int // with a complete answer of a server in time
-	Rejected     int // 429 and 503
-	Failed       int // any other code
-	Late         int // answered after their time, within the slack
-	Cancelled    int // by clients that did not wait
-	Attempts     int
-	Connections  int64         // accepted by servers
-	ListBytes    int64         // written by discovery
-	Processor    time.Duration // used by all sidecars
-	PeakMemory   int64         // bytes, of the largest sidecar
-	Descriptors  int           // most open at once in one sidecar
-	Losses       []Loss        // each broken rule
-	LongestRetry int           // most attempts of one request
+	Requests    int
+	Served      int // with a complete response of a server, before the deadline
+	Rejected    int // with status 429 or 503
+	Failed      int // with any other status
+	Late        int // answered after the deadline, but within responseSlack
+	Cancelled   int // by clients before the deadline
+	Attempts    int
+	Connections int64         // accepted by servers
+	ListBytes   int64         // written by discovery
+	Processor   time.Duration // used by all sidecars
+	PeakMemory  int64         // bytes, of the sidecar that used most
+	Descriptors int           // highest number open at the same time in one sidecar
+	Losses      []Loss        // violations of the rules
+	MaxAttempts int           // highest number of attempts of one request
 }
 
-// report checks the records. The sidecars have ended.
-func (r *rig) report() *Report {
+// report checks the records. The sidecars must have exited.
+func (r *testRun) report() *Report {
 	r.recorder.mu.Lock()
 	defer r.recorder.mu.Unlock()
 	report := &Report{
@@ -136,10 +136,10 @@
 	return report
 }
 
-// add counts a request and checks the rules on it.
+// add counts a request and checks whether it violates a rule.
 func (p *Report) add(q *request) {
 	p.Attempts += len(q.attempts)
-	p.LongestRetry = max(p.LongestRetry, len(q.attempts))
+	p.MaxAttempts = max(p.MaxAttempts, len(q.attempts))
 	addLoss := func(kind LossKind, format string, values ...any) {
 		text := fmt.Sprintf("%s %s (%d attempts): ", q.id, q.class.name, len(q.attempts))
 		p.Losses = append(p.Losses, Loss{kind, text + fmt.Sprintf(format, values...)})
@@ -152,18 +152,19 @@
 		p.Cancelled++
 	case answered:
 		p.addAnswer(q, took)
-		if q.result.code == http.StatusOK && !q.servedAs(q.result.body) {
-			addLoss(WrongAnswer, "answered 200 with %q, which no server made", q.result.body)
+		if q.result.code == http.StatusOK && !q.isServerBody(q.result.body) {
+			addLoss(WrongAnswer, "answered 200 with body %q, which no server sent", q.result.body)
 		}
 	}
 	for _, at := range q.attempts {
 		if after := at.Sub(q.result.at); after > forwardSlack {
-			addLoss(AttemptAfter, "an attempt began %v after its end (%s)", after.Round(time.Millisecond), q.result.outcome)
+			addLoss(AttemptAfter, "an attempt began %v after the request had ended (%s)",
+				after.Round(time.Millisecond), q.result.outcome)
 		}
 	}
 }
 
-// addAnswer counts an answer by its code.
+// addAnswer counts an answered request by its status and by whether it was late.
 func (p *Report) addAnswer(q *request, took time.Duration) {
 	switch {
 	case took > q.class.deadline:
@@ -177,8 +178,8 @@
 	}
 }
 
-// servedAs reports whether a body is that of a server that has read the request.
-func (q *request) servedAs(body string) bool {
+// isServerBody reports whether a body was sent by a server that received the request.
+func (q *request) isServerBody(body string) bool {
 	return len(q.attempts) > 0 && strings.HasPrefix(body, q.id+"@")
 }
 
@@ -187,10 +188,10 @@
 
 // Print writes the report as text.
 func (p *Report) Print(out io.Writer) {
-	fmt.Fprintf(out, "requests %d: served %d, rejected %d, failed %d, late %d, left %d, lost %d\n",
+	fmt.Fprintf(out, "requests %d: served %d, rejected %d, failed %d, late %d, cancelled %d, lost %d\n",
 		p.Requests, p.Served, p.Rejected, p.Failed, p.Late, p.Cancelled, len(p.Losses))
 	fmt.Fprintf(out, "attempts %d (most %d), connections %d, list bytes %d, processor %v, memory %d MB, descriptors %d\n",
-		p.Attempts, p.LongestRetry, p.Connections, p.ListBytes, p.Processor.Round(time.Millisecond),
+		p.Attempts, p.MaxAttempts, p.Connections, p.ListBytes, p.Processor.Round(time.Millisecond),
 		p.PeakMemory>>20, p.Descriptors)
 	kinds := map[LossKind]int{}
 	for _, loss := range p.Losses {
--- a/internal/faulttest/largelist/servers.go
+++ b/internal/faulttest/largelist/servers.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	serviceTime   = 50 * time.Millisecond // of a request, at a server that is not in slow start
-	slowStartTime = 8 * time.Second
-	slowdown      = 3 // of a server that has just started
-	podSize       = 6
+	serviceTime     = 50 * time.Millisecond // of a request, at a server that is not in slow start
+	slowStartTime   = 8 * time.Second
+	slowStartFactor = 3 // ratio of the service time of a server that has just started to serviceTime
+	podSize         = 6
 )
 
-// sites are the zones, of which servers are in turn.
+// sites are the zones, to which servers are assigned in turn.
 var sites = []string{"a", "b"}
 
-// serverGroup holds the servers, one listener on an address of its own each.
+// serverGroup runs the servers. Each of them listens on an address of its own.
 type serverGroup struct {
 	recorder *recorder
 	http     http.Server
@@ -31,7 +31,7 @@
 	conns    atomic.Int64 // accepted so far
 
 	mu      sync.RWMutex
-	started map[string]time.Time // by address; the zero time for long ago
+	started map[string]time.Time // by address; the zero time for servers without slow start
 	count   int
 }
 
@@ -46,7 +46,7 @@
 	return g
 }
 
-// start starts n servers and returns their entries for discovery.
+// start starts n servers and returns their entries for discovery. It records at as the time of their start.
 func (g *serverGroup) start(n int, at time.Time) ([]fakediscovery.Host, error) {
 	var hosts []fakediscovery.Host
 	for range n {
@@ -63,7 +63,7 @@
 		g.mu.Lock()
 		g.started[address] = at
 		g.mu.Unlock()
-		g.serving.Go(func() { _ = g.http.Serve(listener) }) // until close
+		g.serving.Go(func() { _ = g.http.Serve(listener) }) // returns when the group is closed
 		host := fakediscovery.Ready(fmt.Sprintf("s-%05d", index), address)
 		host.Site = sites[index%len(sites)]
 		host.Cell = uint16(index / podSize)
@@ -75,13 +75,13 @@
 	return hosts, nil
 }
 
-// close ends all servers.
+// close stops all servers.
 func (g *serverGroup) close() {
 	g.http.Close()
 	g.serving.Wait()
 }
 
-// handle serves a request, or reports the load in response to a probe.
+// handle serves a request, or reports the server's load in response to a probe.
 func (g *serverGroup) handle(w http.ResponseWriter, in *http.Request) {
 	address := in.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
 	if in.URL.Path == "/stats" {
@@ -90,24 +90,24 @@
 	}
 	_, _ = io.Copy(io.Discard, in.Body)
 	id := in.Header.Get("X-Correlation-Id")
-	g.recorder.attempted(id, time.Now())
-	if !ctxtime.Sleep(in.Context(), g.timeToServe(address)) {
+	g.recorder.recordAttempt(id, time.Now())
+	if !ctxtime.Sleep(in.Context(), g.currentServiceTime(address)) {
 		return
 	}
 	_, _ = io.WriteString(w, responseBody(id, address))
 }
 
-// timeToServe returns how long a server needs for a request now.
-func (g *serverGroup) timeToServe(address string) time.Duration {
+// currentServiceTime returns how long a server currently needs for a request, which is longer during slow start.
+func (g *serverGroup) currentServiceTime(address string) time.Duration {
 	g.mu.RLock()
 	started := g.started[address]
 	g.mu.RUnlock()
 	if started.IsZero() || time.Since(started) >= slowStartTime {
 		return serviceTime
 	}
-	warm := float64(time.Since(started)) / float64(slowStartTime)
-	return time.Duration(float64(serviceTime) * (slowdown - (slowdown-1)*warm))
+	progress := float64(time.Since(started)) / float64(slowStartTime)
+	return time.Duration(float64(serviceTime) * (slowStartFactor - (slowStartFactor-1)*progress))
 }
 
-// responseBody is what a server responds to a request.
+// responseBody returns the body of a server's response to a request.
 func responseBody(id, address string) string { return id + "@" + address }
--- a/internal/faulttest/largelist/sidecar.go
+++ b/internal/faulttest/largelist/sidecar.go
@@ -27,15 +27,15 @@
 	bytesPerKB      = 1 << 10
 )
 
-// sidecar is a process of pinedale.
+// sidecar controls one process of pinedale.
 type sidecar struct {
-	address string
-	cmd     *exec.Cmd
-	logFile *os.File
-	ending  sync.Once
+	address  string
+	cmd      *exec.Cmd
+	logFile  *os.File
+	killOnce sync.Once
 
-	maxDescriptors int   // owned by observe
-	peakMemory     int64 // bytes resident; owned by observe
+	maxDescriptors int   // written by observe only
+	peakMemory     int64 // resident bytes; written by observe only
 }
 
 // startSidecar writes the configuration of a sidecar and starts it.
@@ -74,7 +74,7 @@
 	return &sidecar{address: address, cmd: cmd, logFile: logFile}, nil
 }
 
-// startOnOneProcessor starts a process that runs on a single processor, as the platform has it.
+// startOnOneProcessor starts a process that may use only one processor, as on the platform.
 func startOnOneProcessor(cmd *exec.Cmd, index int) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -86,7 +86,7 @@
 	if err := unix.SchedSetaffinity(0, &one); err != nil {
 		return err
 	}
-	err := cmd.Start() // the process inherits the thread's processors
+	err := cmd.Start() // the process inherits the thread's processor affinity
 	return errors.Join(err, unix.SchedSetaffinity(0, &all))
 }
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// settings are those of a fleet of 300 sidecars with thin traffic.
+// settings returns the settings of a sidecar in a fleet of 300 sidecars, each of which has few requests.
 func settings(position int) testfleet.SidecarSettings {
 	s := testfleet.FullSettings(longestDeadline, dedupWindow)
 	s.Position = position
@@ -120,7 +120,6 @@
 	return s
 }
 
-// waitReady waits until the sidecar is ready.
 func (s *sidecar) waitReady(ctx context.Context) error {
 	for !testfleet.IsReady(s.address) {
 		if !ctxtime.Sleep(ctx, readyInterval) {
@@ -130,7 +129,7 @@
 	return nil
 }
 
-// throttle stops and continues the process in turn until ctx ends, and leaves it running.
+// throttle stops and continues the process in turn until ctx is done, and leaves it running.
 func (s *sidecar) throttle(ctx context.Context, t Throttle) {
 	if t.Stopped == 0 {
 		return
@@ -144,10 +143,10 @@
 	}
 }
 
-// signal sends a signal, which fails if the process has ended.
+// signal sends a signal to the process. The error of a process that has exited does not matter.
 func (s *sidecar) signal(signal syscall.Signal) { _ = s.cmd.Process.Signal(signal) }
 
-// observe records the peaks of descriptors and memory until ctx ends.
+// observe records the highest number of open descriptors and the peak memory until ctx is done.
 func (s *sidecar) observe(ctx context.Context) {
 	directory := fmt.Sprintf("/proc/%d/", s.cmd.Process.Pid)
 	for ctxtime.Sleep(ctx, observeInterval) {
@@ -160,7 +159,7 @@
 	}
 }
 
-// peakResidentBytes returns the largest resident size by the text of a process's status, 0 if it has none.
+// peakResidentBytes returns the peak resident size in a /proc/PID/status text, or 0 if it has none.
 func peakResidentBytes(status string) int64 {
 	_, rest, _ := strings.Cut(status, "VmHWM:")
 	var kilobytes int64
@@ -170,16 +169,16 @@
 	return kilobytes * bytesPerKB
 }
 
-// kill ends the process and waits for its end.
+// kill kills the process and waits until it has exited.
 func (s *sidecar) kill() {
-	s.ending.Do(func() {
+	s.killOnce.Do(func() {
 		s.signal(syscall.SIGKILL)
-		_ = s.cmd.Wait() // killed
+		_ = s.cmd.Wait() // fails, since the process was killed
 		s.logFile.Close()
 	})
 }
 
-// processorTime returns what a process that has ended has used.
+// processorTime returns the processor time that the process used. The process must have exited.
 func (s *sidecar) processorTime() time.Duration {
 	return s.cmd.ProcessState.UserTime() + s.cmd.ProcessState.SystemTime()
 }
--- a/internal/faulttest/load.go
+++ b/internal/faulttest/load.go
@@ -14,24 +14,24 @@
 // Random sequences of the schedule's seed.
 const (
 	loadSequence        = 11
-	firstEffectSequence = 100 // of effect 0; each further effect has the next one
+	firstEffectSequence = 100 // of the effect with index 0; the sequence number grows by one with each effect
 )
 
-// hastyClients is such that one in hastyClients gives its first attempts up early.
-const hastyClients = 4
+// earlyCancelOneIn is the share of clients that cancel their first attempts early: one in this many.
+const earlyCancelOneIn = 4
 
-// effect is what one client wants to have executed, once.
+// effect is an operation that a client wants to have executed exactly once, in one or more attempts.
 type effect struct {
 	key           string
 	class         *requestClass
 	firstInstance int // index of the instance that the first attempt is sent to
 	rng           *rand.Rand
-	hasty         bool // the client gives its first attempts up early
+	cancelsEarly  bool // the client cancels its first attempts early
 }
 
-// generateLoad has clients request effects until the load's duration is over, and waits for the last of them. The
-// effects and the times of their requests follow from the schedule's seed.
-func (r *rig) generateLoad(ctx context.Context) {
+// generateLoad starts clients at random intervals for the duration of the load, and waits until the last of them has
+// ended. The effects and the times at which they are requested are drawn from the schedule's seed.
+func (r *testRun) generateLoad(ctx context.Context) {
 	s := r.options.Schedule
 	rng := rand.New(rand.NewPCG(s.Seed, loadSequence))
 	httpClient := newHTTPClient()
@@ -48,31 +48,31 @@
 			return
 		}
 		clients.Go(func() {
-			client := &client{rig: r, http: httpClient, effect: requested}
+			client := &client{testRun: r, http: httpClient, effect: requested}
 			client.run(ctx)
 		})
 	}
 }
 
-// newHTTPClient returns a client that uses a new connection for each request. An idle connection might be closed
-// while a request is sent on it, which clients could not distinguish from a lost response.
+// newHTTPClient returns a client that opens a new connection for each request. If a reused connection were closed by
+// the instance while a request is sent on it, clients could not distinguish that from a lost response.
 func newHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 }
 
-// drawEffect draws the effect with an index. The order of its draws defines the load of a seed: it must not change.
+// drawEffect draws the effect with an index. The order of its draws determines the load of a seed and must not change.
 func drawEffect(rng *rand.Rand, seed uint64, index, instances int) *effect {
 	drawn := &effect{
 		key:           fmt.Sprintf("e-%d-%d", seed, index),
 		firstInstance: rng.IntN(instances),
 		rng:           rand.New(rand.NewPCG(seed, uint64(index)+firstEffectSequence)),
-		hasty:         rng.IntN(hastyClients) == 0,
+		cancelsEarly:  rng.IntN(earlyCancelOneIn) == 0,
 	}
 	drawn.class = classAt(rng.Float64())
 	return drawn
 }
 
-// classAt returns the class at a quantile, 0 to 1, of the classes' distribution.
+// classAt returns the class at a quantile (0 to 1) of the distribution of classes.
 func classAt(quantile float64) *requestClass {
 	last := len(requestClasses) - 1
 	for i := range requestClasses[:last] {
--- a/internal/faulttest/network.go
+++ b/internal/faulttest/network.go
@@ -6,13 +6,13 @@
 	"pinedale/internal/standin/fakediscovery"
 )
 
-// endpoints are the names of the two ends of a path, in its direction.
+// endpoints names the two ends of a path, in the direction of its traffic.
 type endpoints struct{ from, to string }
 
 // reverse returns the endpoints of the opposite path.
 func (e endpoints) reverse() endpoints { return endpoints{from: e.to, to: e.from} }
 
-// network is what connects the processes of a run.
+// network holds the relays, paths and discovery services that connect the processes of a run.
 type network struct {
 	seed            uint64
 	paths           map[endpoints]*relay.Path
@@ -32,11 +32,11 @@
 	}
 }
 
-// pathSeedFactor separates the path seeds of successive schedule seeds.
+// pathSeedFactor keeps the path seeds of consecutive schedule seeds apart.
 const pathSeedFactor = 1_000_003
 
-// path returns the path between two endpoints, and creates it if there is none. Its seed follows from the network's
-// and from the number of paths that were created before.
+// path returns the path between two endpoints, and creates it if it does not exist. Its seed is derived from the
+// network's seed and from the number of paths created before.
 func (n *network) path(ends endpoints) *relay.Path {
 	if n.paths[ends] == nil {
 		n.paths[ends] = relay.NewPath(n.seed*pathSeedFactor + uint64(len(n.paths)))
@@ -44,7 +44,7 @@
 	return n.paths[ends]
 }
 
-// connect starts a relay from one process to another, at the target address, and returns the relay's address.
+// connect starts a relay from one process to another, which listens at target, and returns the relay's address.
 func (n *network) connect(from, to, target string) (string, error) {
 	ends := endpoints{from, to}
 	outbound := n.path(ends)
@@ -66,7 +66,7 @@
 	}
 }
 
-// redirect has all relays to an instance forward to the addresses of its present process.
+// redirect makes all relays to an instance forward to the addresses of its current process.
 func (n *network) redirect(i *instance) error {
 	i.mu.Lock()
 	httpAddress, peerAddress := i.httpAddress, i.peerAddress
--- a/internal/faulttest/network_test.go
+++ b/internal/faulttest/network_test.go
@@ -55,7 +55,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := affects(&test.fault, test.path); got != test.want {
-				t.Errorf("affects is %v, want %v", got, test.want)
+				t.Errorf("affects(%+v, %+v) = %v, want %v", test.fault, test.path, got, test.want)
 			}
 		})
 	}
--- a/internal/faulttest/observe.go
+++ b/internal/faulttest/observe.go
@@ -26,15 +26,15 @@
 	history history.History
 }
 
-// record changes the history.
+// record applies a change to the history.
 func (c *recorder) record(change func(*history.History)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.history)
 }
 
-// observeViews records each instance's view of the cluster at intervals, until the context is done.
-func (r *rig) observeViews(ctx context.Context) {
+// observeViews records each instance's view of the cluster every viewInterval, until ctx is done.
+func (r *testRun) observeViews(ctx context.Context) {
 	ticker := time.NewTicker(viewInterval)
 	defer ticker.Stop()
 	for {
@@ -50,7 +50,7 @@
 }
 
 // observeView records an instance's view of the cluster, unless the instance does not respond.
-func (r *rig) observeView(ctx context.Context, i *instance) {
+func (r *testRun) observeView(ctx context.Context, i *instance) {
 	status, err := r.fetchStatus(ctx, i, viewTimeout)
 	if err != nil {
 		return
@@ -65,8 +65,8 @@
 }
 
 // waitConverged waits until the replicas of all instances are equal. It records how long that took, and the
-// remaining differences if they did not become equal within convergenceTimeout.
-func (r *rig) waitConverged(ctx context.Context) error {
+// differences that remain if the replicas are not equal after convergenceTimeout.
+func (r *testRun) waitConverged(ctx context.Context) error {
 	start := r.sinceLoadStart()
 	var differences []string
 	for deadline := time.Now().Add(convergenceTimeout); time.Now().Before(deadline); {
@@ -82,8 +82,8 @@
 	return ctx.Err()
 }
 
-// replicaDifferences returns how the instances' replicas differ from that of the first one.
-func (r *rig) replicaDifferences(ctx context.Context) []string {
+// replicaDifferences returns how the instances' replicas differ from that of the first instance.
+func (r *testRun) replicaDifferences(ctx context.Context) []string {
 	var differences []string
 	var first *cluster.Status
 	for _, instance := range r.instances {
@@ -94,7 +94,8 @@
 		}
 		status.Records = slices.DeleteFunc(status.Records, describesOrigin)
 		if len(status.Alive) != len(r.instances) {
-			differences = append(differences, fmt.Sprintf("%s knows %v", instance.name, status.Alive))
+			differences = append(differences, fmt.Sprintf("%s considers %v alive, want all %d instances",
+				instance.name, status.Alive, len(r.instances)))
 		}
 		if first == nil {
 			first = &status
@@ -105,5 +106,5 @@
 	return differences
 }
 
-// describesOrigin reports whether a record is what an instance publishes about itself, which never stops changing.
+// describesOrigin reports whether a record was published by an instance about itself. Such records keep changing.
 func describesOrigin(record cluster.Record) bool { return record.Subject == "self" }
--- a/internal/faulttest/plot.go
+++ b/internal/faulttest/plot.go
@@ -21,8 +21,8 @@
 	plotHeight = 8 * vg.Centimeter
 	lineWidth  = 1.2 // points
 
-	servicePointSpan = 250 * time.Millisecond // that one point of the service plot covers
-	minFaultWidth    = servicePointSpan / 5   // of the mark of a fault without duration
+	servicePointSpan = 250 * time.Millisecond // covered by one point of the service plot
+	minFaultWidth    = servicePointSpan / 5   // of the marked area, for faults without duration
 )
 
 // faultColor marks the periods of faults.
@@ -37,7 +37,7 @@
 	color.RGBA{R: 90, G: 90, B: 90, A: 255},
 }
 
-// serviceCategory is a line of the service plot.
+// serviceCategory is a category of attempts, with a line of its own in the service plot.
 type serviceCategory int
 
 // The categories of attempts, in the order of their lines.
@@ -50,13 +50,13 @@
 	categoryCount
 )
 
-// categoryLabels are the legends of the service plot.
+// categoryLabels are the labels of the categories in the legend.
 var categoryLabels = [categoryCount]string{
 	categoryServed:     "served",
 	categoryRejected:   "refused",
 	categoryFailed:     "failed",
-	categoryCancelled:  "given up by clients",
-	categoryNoResponse: "without answer",
+	categoryCancelled:  "cancelled by clients",
+	categoryNoResponse: "no response",
 }
 
 // categorize returns the category of an attempt.
@@ -78,9 +78,9 @@
 	}
 }
 
-// plotService plots how many attempts per second there were of each category, by the time of their requests.
+// plotService plots the attempts per second of each category, by the time at which they were requested.
 func plotService(h *history.History) (string, error) {
-	var counts [categoryCount]map[int]int // by the point in the plot
+	var counts [categoryCount]map[int]int // by index of the point in the plot
 	for category := range counts {
 		counts[category] = map[int]int{}
 	}
@@ -92,8 +92,8 @@
 		lastPoint = max(lastPoint, point)
 	}
 	p := plot.New()
-	p.Title.Text = "Tries by what became of them"
-	p.Y.Label.Text = "a second"
+	p.Title.Text = "Attempts by outcome"
+	p.Y.Label.Text = "attempts per second"
 	top := 1.0
 	for category, label := range categoryLabels {
 		points := make(plotter.XYs, lastPoint+1)
@@ -117,7 +117,7 @@
 		points[view.Instance] = append(points[view.Instance], point)
 	}
 	p := plot.New()
-	p.Title.Text = "Instances that each takes to be there"
+	p.Title.Text = "Instances that each instance considers alive"
 	p.Y.Label.Text = "instances"
 	for i, instance := range slices.Sorted(maps.Keys(points)) {
 		if err := addLine(p, instance, points[instance], i); err != nil {
@@ -127,7 +127,7 @@
 	return renderSVG(p, h, float64(h.Schedule.Instances)+1)
 }
 
-// addLine adds a line with the color of an index, and its legend.
+// addLine adds a line in the color of an index, and its entry in the legend.
 func addLine(p *plot.Plot, label string, points plotter.XYs, colorIndex int) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// renderSVG marks the faults of a history in a plot, whose vertical axis ends at top, and renders it as SVG.
+// renderSVG marks the history's faults in a plot, whose vertical axis ends at top, and renders the plot as SVG.
 func renderSVG(p *plot.Plot, h *history.History, top float64) (string, error) {
 	for i := range h.Schedule.Faults {
 		fault := &h.Schedule.Faults[i]
--- a/internal/faulttest/relay/datagram.go
+++ b/internal/faulttest/relay/datagram.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// maxDatagramBytes is the size of the largest datagram.
+// maxDatagramBytes is the size of the buffer that receives datagrams. It exceeds the largest UDP payload.
 const maxDatagramBytes = 1 << 16
 
 // forwardDatagrams forwards datagrams until the relay is closed.
@@ -38,7 +38,7 @@
 	delayed []byte // nil if none is held back
 }
 
-// next returns the datagrams to deliver now that one more was received.
+// next returns the datagrams to deliver after another one was received.
 func (q *reorderQueue) next(datagram []byte, fate datagramFate) [][]byte {
 	if fate.reordered && q.delayed == nil {
 		q.delayed = datagram
--- a/internal/faulttest/relay/path.go
+++ b/internal/faulttest/relay/path.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Conditions are the faults of one direction of a path. The probabilities apply to datagrams; streams have only
-// Partitioned and Delay.
+// Conditions are the faults of one direction of a path. The probabilities apply to datagrams. Streams are affected only
+// by Partitioned and Delay.
 type Conditions struct {
 	Partitioned bool          // datagrams are lost, streams stall
 	Loss        float64       // probability that a datagram is lost
@@ -29,13 +29,13 @@
 	arrivals   []time.Time
 }
 
-// Counts are the datagrams and chunks of streams that came to a path.
+// Counts holds the numbers of datagrams and chunks of streams that a path has received.
 type Counts struct {
 	Received int
 	Dropped  int // of those received
 }
 
-// fateSequence is the random sequence of a path's seed that fates are drawn from.
+// fateSequence is the random sequence of a path's seed from which fates are drawn.
 const fateSequence = 1
 
 // NewPath returns a path without faults. The seed determines which datagrams later conditions affect.
@@ -60,8 +60,8 @@
 	return p.counts
 }
 
-// Arrivals returns the times at which chunks of streams were received from their sender, in order. Whether they
-// were delivered does not matter.
+// Arrivals returns the times at which chunks of streams were received from their sender, in order, whether or not they
+// were delivered.
 func (p *Path) Arrivals() []time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +75,7 @@
 	p.arrivals = append(p.arrivals, time.Now())
 }
 
-// close ends all waits for the end of a partition.
+// close ends all waiting for the end of a partition.
 func (p *Path) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,7 @@
 	p.changed.Broadcast()
 }
 
-// delayStream blocks while the path is partitioned, and then for its delay.
+// delayStream blocks while the path is partitioned, and then for the path's delay.
 func (p *Path) delayStream() {
 	p.mu.Lock()
 	for p.conditions.Partitioned && !p.closed {
@@ -115,8 +115,7 @@
 	}
 }
 
-// drawFate draws the fate of a datagram. The order of the draws defines the fates that follow from a seed: it must
-// not change.
+// drawFate draws the fate of a datagram. The order of the draws determines the fates of a seed and must not change.
 func (p *Path) drawFate() datagramFate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faulttest/relay/relay.go
+++ b/internal/faulttest/relay/relay.go
@@ -1,6 +1,6 @@
 // Package relay simulates the network between the processes of a fault test. Each path from one process to another
-// leads through a relay on loopback, which forwards TCP connections and UDP datagrams and can lose, duplicate, delay,
-// reorder, corrupt or hold back what it forwards.
+// passes a relay on loopback, which forwards TCP connections and UDP datagrams. It can delay and hold back both, and
+// lose, duplicate, reorder or corrupt datagrams.
 package relay
 
 import (
@@ -13,14 +13,14 @@
 
 // Relay forwards TCP connections and UDP datagrams from its address to a target.
 type Relay struct {
-	Address string // host:port, of TCP and UDP
+	Address string // host:port, for TCP and UDP
 
 	outbound *Path // to the target
 	inbound  *Path // from the target
 	listener net.Listener
 	socket   *net.UDPConn
 	tasks    sync.WaitGroup  // all goroutines of the relay
-	ctx      context.Context // is cancelled when the relay is closed
+	ctx      context.Context // cancelled when the relay is closed
 	cancel   context.CancelFunc
 
 	mu          sync.Mutex
@@ -36,8 +36,8 @@
 }
 
 // Start starts a relay that forwards to the target, which is host:port. Data to the target takes the outbound path,
-// and data from it the inbound path. Datagrams are forwarded to the target only: responses to them take another
-// relay.
+// and data from it the inbound path. Datagrams are forwarded only to the target: datagrams in the opposite direction
+// take another relay.
 func Start(target string, outbound, inbound *Path) (*Relay, error) {
 	listener, socket, err := listen()
 	if err != nil {
@@ -66,7 +66,7 @@
 // maxListenAttempts bounds the attempts to find a port that is free for both TCP and UDP.
 const maxListenAttempts = 100
 
-// errNoFreePort is returned by Start if maxListenAttempts failed.
+// errNoFreePort is wrapped by the error of Start if no port was free in maxListenAttempts attempts.
 var errNoFreePort = errors.New("no port is free for both TCP and UDP")
 
 // listen listens on loopback, for TCP and UDP on the same port.
@@ -86,7 +86,7 @@
 	return nil, nil, fmt.Errorf("%w after %d attempts", errNoFreePort, maxListenAttempts)
 }
 
-// SetTarget has the relay forward new connections and datagrams to another address. Established connections are not
+// SetTarget makes the relay forward new connections and datagrams to another address. Established connections are not
 // affected.
 func (r *Relay) SetTarget(address string) error {
 	datagrams, err := net.ResolveUDPAddr("udp", address)
@@ -117,7 +117,7 @@
 	r.tasks.Wait()
 }
 
-// closeConnections closes all connections, and those that are added later.
+// closeConnections closes all connections, and makes addConnection close those that are added later.
 func (r *Relay) closeConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faulttest/relay/relay_test.go
+++ b/internal/faulttest/relay/relay_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	receiveTimeout = 20 * time.Second      // for what must arrive
-	noDataTimeout  = 50 * time.Millisecond // for what must not arrive
+	receiveTimeout = 20 * time.Second      // for data that must arrive
+	noDataTimeout  = 50 * time.Millisecond // for data that must not arrive
 )
 
 // testTarget is a target that accepts TCP connections and receives datagrams at one address.
@@ -44,7 +44,7 @@
 	}
 }
 
-// receive returns the next datagram.
+// receive returns the next datagram that arrives at the target.
 func (target *testTarget) receive(t *testing.T) string {
 	t.Helper()
 	if err := target.socket.SetReadDeadline(time.Now().Add(receiveTimeout)); err != nil {
@@ -64,7 +64,8 @@
 	target *testTarget
 }
 
-// newTestRelay starts a relay to a new target. Both end with the test, which then must have left no goroutines.
+// newTestRelay starts a relay to a new target. Both are closed at the end of the test, which then fails if goroutines
+// remain.
 func newTestRelay(t *testing.T) *testRelay {
 	t.Helper()
 	ignored := goleak.IgnoreCurrent()
@@ -78,7 +79,7 @@
 	return &testRelay{Relay: relay, target: target}
 }
 
-// dial opens a connection to the relay, which ends with the test.
+// dial opens a connection to the relay, which is closed at the end of the test.
 func (r *testRelay) dial(t *testing.T, network string) net.Conn {
 	t.Helper()
 	connection, err := net.Dial(network, r.Address)
@@ -101,7 +102,6 @@
 	return client, server
 }
 
-// send writes a text.
 func send(t *testing.T, to io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(to, text); err != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// receive reads a number of bytes, for at most a timeout.
+// receive reads count bytes. It fails if they do not arrive within the timeout.
 func receive(t *testing.T, from net.Conn, count int, timeout time.Duration) (string, error) {
 	t.Helper()
 	if err := from.SetReadDeadline(time.Now().Add(timeout)); err != nil {
@@ -120,7 +120,7 @@
 	return string(buffer[:count]), err
 }
 
-// requireReceived fails unless a text arrives.
+// requireReceived fails the test unless a text arrives.
 func requireReceived(t *testing.T, from net.Conn, want string) {
 	t.Helper()
 	if got, err := receive(t, from, len(want), receiveTimeout); err != nil || got != want {
@@ -138,7 +138,7 @@
 	requireReceived(t, oldServer, "before")
 	send(t, datagrams, "one")
 	if got := relay.target.receive(t); got != "one" {
-		t.Fatalf("the first target received %q", got)
+		t.Fatalf("the first target received %q, want %q", got, "one")
 	}
 
 	if err := relay.SetTarget(second.address); err != nil {
@@ -151,11 +151,11 @@
 	requireReceived(t, oldServer, "still here")
 	send(t, datagrams, "two")
 	if got := second.receive(t); got != "two" {
-		t.Fatalf("the second target received %q", got)
+		t.Fatalf("the second target received %q, want %q", got, "two")
 	}
 
 	if err := relay.SetTarget("nowhere"); err == nil {
-		t.Error("an address without a port was accepted as target")
+		t.Error("SetTarget accepted an address without a port")
 	}
 }
 
@@ -168,7 +168,7 @@
 	send(t, server, "other way")
 	requireReceived(t, client, "other way")
 	if got, err := receive(t, server, 1, noDataTimeout); err == nil {
-		t.Fatalf("%q passed the partition", got)
+		t.Fatalf("received %q through a partition", got)
 	}
 
 	relay.outbound.SetConditions(Conditions{})
@@ -205,27 +205,27 @@
 	relay.outbound.SetConditions(Conditions{Duplicate: 1})
 	sendAndWait("a")
 	if got := relay.target.receive(t) + relay.target.receive(t); got != "aa" {
-		t.Errorf("duplicated: %q", got)
+		t.Errorf("received %q with duplication, want %q", got, "aa")
 	}
 	relay.outbound.SetConditions(Conditions{Reorder: 1})
 	sendAndWait("b")
 	relay.outbound.SetConditions(Conditions{})
 	sendAndWait("c")
 	if got := relay.target.receive(t) + relay.target.receive(t); got != "cb" {
-		t.Errorf("reordered: %q", got)
+		t.Errorf("received %q with reordering, want %q", got, "cb")
 	}
 	relay.outbound.SetConditions(Conditions{Corrupt: 1})
 	sendAndWait("changed")
 	if got := relay.target.receive(t); got == "changed" || len(got) != len("changed") {
-		t.Errorf("corrupted: %q", got)
+		t.Errorf("received %q with corruption, want a changed text of the same length", got)
 	}
 	relay.outbound.SetConditions(Conditions{Delay: time.Millisecond})
 	sendAndWait("late")
 	if got := relay.target.receive(t); got != "late" {
-		t.Errorf("delayed: %q", got)
+		t.Errorf("received %q with a delay, want %q", got, "late")
 	}
 	if dropped := relay.outbound.Counts().Dropped; dropped != 2 {
-		t.Errorf("%d datagrams were counted as dropped, want 2", dropped)
+		t.Errorf("%d datagrams counted as dropped, want 2", dropped)
 	}
 }
 
@@ -241,9 +241,9 @@
 	}
 	first, second, other := drawFates(1), drawFates(1), drawFates(2)
 	if first != second {
-		t.Error("the same seed has different fates")
+		t.Error("the same seed gave different fates")
 	}
 	if first == other {
-		t.Error("different seeds have the same fates")
+		t.Error("different seeds gave the same fates")
 	}
 }
--- a/internal/faulttest/relay/stream.go
+++ b/internal/faulttest/relay/stream.go
@@ -36,7 +36,7 @@
 	r.outbound.delayStream()
 	destination, err := r.dialTarget()
 	if err != nil {
-		reset(source) // like the target, which refused the connection
+		reset(source) // what the client sees if the target refuses a connection
 		return
 	}
 	if !r.addConnection(destination) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// dialTarget connects to the target. It has no timeout of its own: on a busy machine a target that is slow to accept
-// must not look unreachable.
+// dialTarget connects to the target. It has no timeout of its own: on a busy machine, a target that is slow to accept
+// connections must not appear unreachable.
 func (r *Relay) dialTarget() (*net.TCPConn, error) {
 	connection, err := (&net.Dialer{}).DialContext(r.ctx, "tcp", r.currentTarget().stream)
 	if err != nil {
@@ -69,7 +69,8 @@
 	return connection.(*net.TCPConn), nil
 }
 
-// forwardStream copies one direction of a connection and forwards its end, if it ends regularly.
+// forwardStream copies one direction of a connection, and closes that direction at the destination once the sender has
+// closed it.
 func forwardStream(to, from *net.TCPConn, path *Path) {
 	if err := copyStream(to, from, path); errors.Is(err, io.EOF) {
 		_ = to.CloseWrite() // fails if the connection has ended
@@ -95,7 +96,7 @@
 	}
 }
 
-// reset closes a connection with a reset, so that its peer does not take that for the end of the stream.
+// reset closes a connection with a TCP reset, which the peer can distinguish from the end of the stream.
 func reset(connection *net.TCPConn) {
 	_ = connection.SetLinger(0) // fails if the connection has ended
 	connection.Close()
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -11,19 +11,19 @@
 	"pinedale/internal/faulttest/schedule"
 )
 
-// reportTemplate is the page that WriteReport writes, executed with a reportData.
+// reportTemplate is the page that WriteReport writes. Its data is a reportData.
 var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{"escape": html.EscapeString}).Parse(
 	`<!DOCTYPE html><html><head><meta charset="utf-8"><title>{{escape .Name}}</title></head>` +
 		`<body style="font-family:sans-serif"><h1>{{escape .Name}}</h1>
-<p>{{.Summary.Effects}} effects, {{.Summary.Attempts}} tries, {{.Summary.Served}} effects served; ` +
-		`answers by code {{.Summary.ByStatus}}; ` +
-		`same copies {{.ConvergenceTime}} after the last fault and request.</p>
+<p>{{.Summary.Effects}} effects, {{.Summary.Attempts}} attempts, {{.Summary.Served}} effects served; ` +
+		`responses by status {{.Summary.ByStatus}}; ` +
+		`replicas equal {{.ConvergenceTime}} after the last fault and request.</p>
 <p>{{len .Findings}} findings</p><ul>{{range .Findings}}<li>{{escape .String}}</li>{{end}}</ul>` +
 		`{{range .Plots}}<div>{{.}}</div>
 {{end}}<h2>Faults</h2><ul>{{range .Faults}}<li>{{escape .String}}</li>{{end}}</ul></body></html>
 `))
 
-// reportData is what reportTemplate refers to.
+// reportData is the data of reportTemplate.
 type reportData struct {
 	Name            string
 	Summary         history.Summary
@@ -33,8 +33,8 @@
 	Faults          []schedule.Fault
 }
 
-// WriteReport writes a page in HTML that summarizes a history: its findings, and plots of the service that clients got
-// and of the instances' views, with the faults marked.
+// WriteReport writes an HTML page that summarizes a history: its findings, and plots of attempts by outcome and of the
+// instances' views of the cluster, with the faults marked.
 func WriteReport(path string, h *history.History) error {
 	servicePlot, err := plotService(h)
 	if err != nil {
--- a/internal/faulttest/schedule/draw.go
+++ b/internal/faulttest/schedule/draw.go
@@ -10,7 +10,7 @@
 	"pinedale/internal/tomlfile"
 )
 
-// The random sequences of a seed.
+// The random sequences of a seed, one for each group of draws.
 const (
 	basicSequence    = 7  // faults that drawBasicFault draws
 	extendedSequence = 13 // duplicate instances and drains
@@ -27,14 +27,13 @@
 	probabilitySteps = 10 // probabilities are drawn in tenths, from 0.1 to 0.9
 )
 
-// maxServerPathFault bounds a drawn fault that delays requests on their way to a server. It is well under the
-// second for which the rig's servers remember a key of a class with groups of all servers: a request that the
-// network delays beyond that may be executed twice whatever its sender does. See
-// docs/design/replicated-state.md.
+// maxServerPathFault bounds the duration of a drawn fault that delays requests on their way to a server. It is well
+// under the second for which servers store a key in the class whose group is all servers: a request that the network
+// delays for longer may be executed twice, which no instance can prevent. See docs/design/replicated-state.md.
 const maxServerPathFault = tomlfile.Duration(500 * time.Millisecond)
 
 // Draw returns the schedule of a seed: three to eight basic faults, which may overlap, and possibly a duplicate
-// instance and drains. The same arguments return the same schedule in all versions of this program.
+// instance and drains. The same arguments give the same schedule in all versions of this program.
 func Draw(seed uint64, instances, servers int, loadDuration time.Duration) *Schedule {
 	schedule := &Schedule{
 		Version:      currentVersion,
@@ -54,7 +53,7 @@
 	for range minBasicFaults + generator.rng.IntN(maxBasicFaults-minBasicFaults+1) {
 		generator.drawBasicFault()
 	}
-	// Kinds that were added later have a sequence of their own, so that each seed keeps its basic faults.
+	// Kinds that were added later are drawn from a sequence of their own, so that each seed keeps its basic faults.
 	generator.rng = rand.New(rand.NewPCG(seed, extendedSequence))
 	generator.drawDuplicateInstance()
 	for range generator.rng.IntN(maxDrains + 1) {
@@ -64,12 +63,12 @@
 	return schedule
 }
 
-// generator draws the faults of a schedule. The order in which it consumes random numbers defines the schedule of
+// generator draws the faults of a schedule. The order in which it consumes random numbers determines the schedule of
 // a seed: no draw may be added, removed or moved.
 type generator struct {
 	schedule *Schedule
 	rng      *rand.Rand
-	reserved map[string][]Fault // faults of processes, by Fault.Target
+	reserved map[string][]Fault // faults of processes, by process name
 }
 
 // add appends a fault to the schedule.
@@ -87,7 +86,7 @@
 // drawKind draws one of several kinds with equal probability.
 func (g *generator) drawKind(kinds ...Kind) Kind { return kinds[g.rng.IntN(len(kinds))] }
 
-// drawFraction draws a duration between two fractions of the load's.
+// drawFraction draws a duration between two fractions of the duration of the load.
 func (g *generator) drawFraction(lower, upper float64) tomlfile.Duration {
 	fraction := lower + (upper-lower)*g.rng.Float64()
 	return tomlfile.Duration(time.Duration(float64(g.schedule.LoadDuration) * fraction).Round(time.Millisecond))
@@ -101,8 +100,8 @@
 	return tomlfile.Duration((time.Duration(g.schedule.LoadDuration) / 3).Round(time.Millisecond))
 }
 
-// reserve records a fault of a process and reports true, unless it is too close to another fault of that process: a
-// process has at most one fault at a time, so none is killed while it is suspended.
+// reserve records a fault of a process and returns true, or returns false if the fault is too close to another fault of
+// that process. A process has at most one fault at a time, so that none is killed while it is suspended.
 func (g *generator) reserve(fault Fault) bool {
 	gap := time.Duration(g.schedule.LoadDuration) / 20
 	tooClose := func(other Fault) bool {
@@ -115,7 +114,7 @@
 	return true
 }
 
-// drawBasicFault draws a fault and adds it, unless it is of a process that already has a fault at that time.
+// drawBasicFault draws a fault and adds it, unless it affects a process that already has a fault at that time.
 func (g *generator) drawBasicFault() {
 	fault := Fault{
 		Start:    g.drawFraction(0.05, 0.65),
@@ -142,7 +141,7 @@
 	g.add(fault)
 }
 
-// drawKindAndPath draws the fault's kind, and the ends of its path if that does not connect two instances. The
+// drawKindAndPath draws the kind of a fault, and sets the ends of its path unless that connects two instances. The
 // weights of the kinds are sixteenths.
 func (g *generator) drawKindAndPath(fault *Fault) {
 	switch n := g.rng.IntN(16); {
@@ -183,7 +182,7 @@
 	}
 }
 
-// drawLatency draws the delay of a fault of kind Latency, in whole milliseconds.
+// drawLatency draws the delay of a fault of kind Latency, a multiple of 1 ms.
 func (g *generator) drawLatency() tomlfile.Duration {
 	choices := int((maxLatency-minLatency)/time.Millisecond) + 1
 	return tomlfile.Duration(minLatency + time.Duration(g.rng.IntN(choices))*time.Millisecond)
@@ -202,8 +201,7 @@
 	}
 }
 
-// drawDrain adds the drain of a server, and with probability 1/2 a fault that delays the notification of an
-// instance.
+// drawDrain adds the drain of a server, and with probability 1/2 a fault that delays its notification to one instance.
 func (g *generator) drawDrain() {
 	drain := Fault{
 		Kind:     DrainServer,
--- a/internal/faulttest/schedule/fault.go
+++ b/internal/faulttest/schedule/fault.go
@@ -14,10 +14,10 @@
 
 // The kinds of faults of processes. Fault.Target names the process.
 const (
-	Kill      Kind = "kill"  // an instance gets SIGKILL and is restarted at the end of the fault
-	Terminate Kind = "term"  // an instance gets SIGTERM and is restarted at the end of the fault
-	Suspend   Kind = "stop"  // an instance gets SIGSTOP, and SIGCONT at the end of the fault
-	Upgrade   Kind = "build" // an instance gets SIGTERM and is restarted with another build, which it keeps
+	Kill      Kind = "kill"  // an instance receives SIGKILL and is restarted at the end of the fault
+	Terminate Kind = "term"  // an instance receives SIGTERM and is restarted at the end of the fault
+	Suspend   Kind = "stop"  // an instance receives SIGSTOP, and SIGCONT at the end of the fault
+	Upgrade   Kind = "build" // an instance receives SIGTERM and is restarted with another build, which it keeps
 
 	// DuplicateInstance suspends an instance and starts a second process with its name at other addresses.
 	// Halfway through the fault the first process is resumed, and it is killed at the end.
@@ -31,13 +31,13 @@
 // opposite path as well if Fault.Bidirectional is set. Loss, Duplicate, Reorder and Corrupt affect datagrams only,
 // each with probability Fault.Probability.
 const (
-	Partition        Kind = "cut"    // nothing passes
+	Partition        Kind = "cut"    // nothing is delivered
 	Loss             Kind = "loss"   // a datagram is lost
 	Duplicate        Kind = "double" // a datagram is delivered twice
-	Reorder          Kind = "swap"   // a datagram is delivered after its successor
+	Reorder          Kind = "swap"   // a datagram is delivered after the next one
 	Corrupt          Kind = "spoil"  // one bit of a datagram is flipped
-	Latency          Kind = "slow"   // everything takes Fault.Delay longer
-	ResetConnections Kind = "break"  // established connections are reset, at once
+	Latency          Kind = "slow"   // delivery of datagrams and streams takes Fault.Delay longer
+	ResetConnections Kind = "break"  // established connections are reset when the fault starts
 )
 
 var (
@@ -68,7 +68,7 @@
 	Duration      tomlfile.Duration `toml:"for" json:"for"`
 	Target        string            `toml:"of" json:"of"`                 // the process, or one end of the path
 	Destination   string            `toml:"to" json:"to,omitempty"`       // the other end of the path
-	Bidirectional bool              `toml:"both" json:"both,omitempty"`   // for kinds of paths
+	Bidirectional bool              `toml:"both" json:"both,omitempty"`   // for faults of paths
 	Probability   float64           `toml:"share" json:"share,omitempty"` // for the kinds that affect datagrams
 	Delay         tomlfile.Duration `toml:"delay" json:"delay,omitempty"` // for Latency
 }
--- a/internal/faulttest/schedule/golden_test.go
+++ b/internal/faulttest/schedule/golden_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// A seed that is named in a report or a kept history draws the same schedule in later programs.
+// Guards against a change of the draws: a seed named in a report or a stored history must give the same schedule in
+// later versions.
 func TestDrawKeepsScheduleOfEachSeed(t *testing.T) {
 	const want = "3417323246b0512ee57d56e1b16205707b82306a9d2d7c4057de7918ae443844"
 	hash := sha256.New()
--- a/internal/faulttest/schedule/schedule.go
+++ b/internal/faulttest/schedule/schedule.go
@@ -7,7 +7,7 @@
 	"pinedale/internal/tomlfile"
 )
 
-// Agreement states when instances agree on an idempotency key, as in the operator's file of pinedale-proxy.
+// Agreement states when instances agree on an idempotency key, as in the configuration of pinedale-proxy.
 type Agreement string
 
 // The values of Agreement.
@@ -17,8 +17,8 @@
 	AgreeAlways Agreement = "always"
 )
 
-// Schedule describes a run. Runs of schedules with the same seed send the same requests at the same times to the
-// same instances.
+// Schedule describes a run. Runs of schedules that differ only in their faults send the same requests at the same times
+// to the same instances.
 type Schedule struct {
 	Version      int               `toml:"version" json:"version"`
 	Name         string            `toml:"name" json:"name"`
@@ -40,7 +40,7 @@
 	defaultLoadDuration = 8 * time.Second
 )
 
-// maxFileBytes bounds the file that Parse accepts.
+// maxFileBytes is the size of the largest file that Parse accepts.
 const maxFileBytes = 1 << 20
 
 // InstanceName returns the name of the instance with the given index, from 0.
--- a/internal/faulttest/schedule/schedule_test.go
+++ b/internal/faulttest/schedule/schedule_test.go
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(schedule, Draw(seed, instances, testServers, testLoadDuration)) {
-			t.Fatal("the same seed draws another schedule")
+			t.Fatalf("seed %d: a second call of Draw returned another schedule", seed)
 		}
 		if schedule.LastFaultEnd() > testLoadDuration {
 			t.Fatalf("the last fault ends at %v, after the load", schedule.LastFaultEnd())
@@ -48,7 +48,7 @@
 	}
 }
 
-// requireRoundTrip fails unless a schedule is equal after it was encoded as JSON and decoded.
+// requireRoundTrip fails unless a schedule is unchanged after encoding it as JSON and decoding the result.
 func requireRoundTrip(t *rapid.T, schedule *Schedule) {
 	encoded, err := json.Marshal(schedule)
 	if err != nil {
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	if len(schedule.Faults) != 1 || schedule.LastFaultEnd() != 3*time.Second {
-		t.Fatalf("%+v", schedule)
+		t.Fatalf("parsed schedule %+v, want one fault that ends at 3 s", schedule)
 	}
 }
 
@@ -127,7 +127,7 @@
 		{"too few instances", `instances = 3`, `instances = 2`, "is not in 3 to 24"},
 		{"unknown version", `version = 1`, `version = 7`, "known version"},
 		{"path of a process fault", `kind = "cut"`, `kind = "kill"`, "affects one process"},
-		{"no duration", `for = "2s"`, ``, "needs a duration"},
+		{"no duration", `for = "2s"`, ``, "missing duration"},
 		{"unknown agreement", `name = "triangle"`, `agree = "maybe"`, "is not one of never, soon, always"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -140,7 +140,7 @@
 	}
 }
 
-// A schedule that Parse accepts is valid.
+// Each schedule that Parse accepts must be valid.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("version = 1\ninstances = 3\n[[fault]]\nkind = \"kill\"\nof = \"i-1\"\nfor = \"1s\"\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/faulttest/schedule/validate.go
+++ b/internal/faulttest/schedule/validate.go
@@ -63,12 +63,12 @@
 	}
 }
 
-// processNames holds the names of all processes that faults may name.
+// processNames holds the names of all processes that can be targets of faults.
 type processNames struct {
 	instances, servers map[string]bool
 }
 
-// processNames returns the names of the schedule's processes, of at most maxInstances and maxServers of them.
+// processNames returns the names of the schedule's processes, up to maxInstances and maxServers of them.
 func (s *Schedule) processNames() processNames {
 	names := processNames{instances: map[string]bool{}, servers: map[string]bool{}}
 	for i := range min(max(0, s.Instances), maxInstances) {
@@ -80,7 +80,7 @@
 	return names
 }
 
-// hasPath reports whether a network path connects two endpoints in this direction.
+// hasPath reports whether a network path leads from one endpoint to another.
 func (n processNames) hasPath(from, to string) bool {
 	if n.instances[to] {
 		return to != from
@@ -91,7 +91,7 @@
 // faultValidator checks one fault of a schedule.
 type faultValidator struct {
 	fault        *Fault
-	table        string // key of the fault's table
+	table        string // key of the fault's table in the file
 	loadDuration time.Duration
 	processes    processNames
 	requireKey   requireFunc
@@ -116,12 +116,12 @@
 func (v *faultValidator) validateTimes() {
 	fault := v.fault
 	v.require(fault.Start >= 0 && fault.Duration >= 0 && fault.EndTime() <= v.loadDuration, "for",
-		"the fault ends %v after the start, and the load lasts %v", fault.EndTime(), v.loadDuration)
+		"the fault ends %v after the start of the load, and the load lasts %v", fault.EndTime(), v.loadDuration)
 	v.require(fault.Duration > 0 || fault.Kind == ResetConnections, "for",
-		"is missing: a fault of kind %q needs a duration", fault.Kind)
+		"missing duration: a fault of kind %q needs one", fault.Kind)
 }
 
-// validateParameters checks the probability and the delay, which some kinds have.
+// validateParameters checks the probability and the delay, which must be set for some kinds and unset for others.
 func (v *faultValidator) validateParameters() {
 	fault := v.fault
 	inRange := fault.Probability >= 0 && fault.Probability <= 1
@@ -131,7 +131,7 @@
 		"%v is not valid for a fault of kind %q", time.Duration(fault.Delay), fault.Kind)
 }
 
-// validateEndpoints checks the names of the process or of the ends of the path.
+// validateEndpoints checks the names of the process or of both ends of the path.
 func (v *faultValidator) validateEndpoints() {
 	target, destination, kind := v.fault.Target, v.fault.Destination, v.fault.Kind
 	switch {
--- a/internal/faulttest/serverhost.go
+++ b/internal/faulttest/serverhost.go
@@ -14,11 +14,11 @@
 	"pinedale/internal/standin/fakebackend"
 )
 
-// serverProcessVariable is the environment variable that marks the process of the servers.
+// serverProcessVariable is the environment variable that tells a process to run the servers.
 const serverProcessVariable = "PINEDALE_FLEET_SERVERS"
 
-// ServeIfServerProcess runs the servers of a run until its standard input ends, if a run has started this process for
-// that; otherwise it returns false. The executable of a process that calls Run must call it first.
+// ServeIfServerProcess runs the servers of a run until standard input ends, if Run has started this process as the
+// server process; otherwise it returns false. The main function of each program that calls Run must call it first.
 func ServeIfServerProcess() (served bool, err error) {
 	if os.Getenv(serverProcessVariable) == "" {
 		return false, nil
@@ -31,7 +31,7 @@
 	decoder, encoder := json.NewDecoder(input), json.NewEncoder(output)
 	var spec serverSpec
 	if err := decoder.Decode(&spec); err != nil {
-		return fmt.Errorf("reading the servers to start: %w", err)
+		return fmt.Errorf("reading the server specification: %w", err)
 	}
 	host := newServerHost(spec)
 	defer host.stopAll()
@@ -49,7 +49,7 @@
 		if err := decoder.Decode(&command); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("reading a command: %w", err)
+			return fmt.Errorf("reading a server command: %w", err)
 		}
 		if err := encoder.Encode(host.execute(command)); err != nil {
 			return err
@@ -57,7 +57,7 @@
 	}
 }
 
-// serverHost runs the servers in their process.
+// serverHost runs the servers in the server process.
 type serverHost struct {
 	fleet   *fakebackend.Fleet
 	servers map[string]*hostedServer // by name
@@ -66,10 +66,10 @@
 	stalls []stall
 }
 
-// hostedServer is one server.
+// hostedServer is a server of a serverHost.
 type hostedServer struct {
 	identity serverIdentity
-	address  string // host:port, which it keeps when it is restarted
+	address  string // host:port, also after a restart
 	running  *fakebackend.Server
 }
 
@@ -91,7 +91,7 @@
 	return &serverHost{fleet: fleet, servers: map[string]*hostedServer{}}
 }
 
-// startAll starts servers and returns their addresses, in order.
+// startAll starts servers and returns their addresses in the same order.
 func (h *serverHost) startAll(identities []serverIdentity) ([]string, error) {
 	var addresses []string
 	for _, identity := range identities {
@@ -109,14 +109,13 @@
 	return addresses, nil
 }
 
-// stopAll stops all servers.
 func (h *serverHost) stopAll() {
 	for _, server := range h.servers {
 		server.running.Close()
 	}
 }
 
-// observeStalls starts to record stalls of this process. The caller calls stop to end that.
+// observeStalls starts to record stalls of this process, until the caller calls stop.
 func (h *serverHost) observeStalls() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var observer sync.WaitGroup
@@ -127,21 +126,19 @@
 	}
 }
 
-// recordStall records a stall of this process.
 func (h *serverHost) recordStall(recorded stall) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stalls = append(h.stalls, recorded)
 }
 
-// execute executes a command.
 func (h *serverHost) execute(command serverCommand) serverResponse {
 	if command.Action == actionReport {
 		return serverResponse{Report: h.report()}
 	}
 	server := h.servers[command.Server]
 	if server == nil {
-		return serverResponse{Error: fmt.Sprintf("there is no server %q", command.Server)}
+		return serverResponse{Error: fmt.Sprintf("unknown server %q", command.Server)}
 	}
 	var err error
 	switch command.Action {
@@ -158,7 +155,7 @@
 	return serverResponse{}
 }
 
-// restart starts a server that was stopped, at its address.
+// restart starts a stopped server at its previous address.
 func (h *serverHost) restart(server *hostedServer) error {
 	running, err := h.fleet.StartAt(server.address, server.identity.Name, server.identity.Pod)
 	if err != nil {
@@ -168,7 +165,7 @@
 	return nil
 }
 
-// report returns what was observed so far.
+// report returns what has been observed so far.
 func (h *serverHost) report() *serverReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/faulttest/serverhost_test.go
+++ b/internal/faulttest/serverhost_test.go
@@ -14,7 +14,7 @@
 	"pinedale/internal/faulttest/schedule"
 )
 
-// serverSession returns the input of a servers' process: the specification of one server, and commands.
+// serverSession returns the input of a server process: the specification of one server, then commands.
 func serverSession(t *testing.T, commands ...serverCommand) io.Reader {
 	t.Helper()
 	var input bytes.Buffer
@@ -55,12 +55,12 @@
 		t.Fatalf("addresses %v, error %v, want one address", addresses, err)
 	}
 	for i, want := range []struct {
-		failure string // part of the response's error, "" if there is none
+		failure string // expected in the response's error; "" if the response has none
 		report  bool
 	}{
 		{},
 		{},
-		{failure: `there is no server "s-9"`},
+		{failure: `unknown server "s-9"`},
 		{failure: `unknown action "pause"`},
 		{report: true},
 		{},
@@ -71,10 +71,10 @@
 		}
 		failed := response.Error != ""
 		if failed != (want.failure != "") || !strings.Contains(response.Error, want.failure) {
-			t.Errorf("response %d has error %q, want %q", i, response.Error, want.failure)
+			t.Errorf("response %d has error %q, want one with %q", i, response.Error, want.failure)
 		}
 		if (response.Report != nil) != want.report {
-			t.Errorf("response %d has report %+v", i, response.Report)
+			t.Errorf("response %d has report %+v, want a report: %v", i, response.Report, want.report)
 		}
 	}
 }
@@ -82,10 +82,10 @@
 func TestServeServersRejectsInvalidInput(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	if err := serveServers(strings.NewReader(""), io.Discard); !errors.Is(err, io.EOF) {
-		t.Errorf("without input: error %v, want io.EOF", err)
+		t.Errorf("without input: error %v, want one that wraps io.EOF", err)
 	}
 	input := io.MultiReader(serverSession(t), strings.NewReader("{"))
 	if err := serveServers(input, io.Discard); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("with half a command: error %v, want io.ErrUnexpectedEOF", err)
+		t.Errorf("with an incomplete command: error %v, want one that wraps io.ErrUnexpectedEOF", err)
 	}
 }
--- a/internal/faulttest/serverprocess.go
+++ b/internal/faulttest/serverprocess.go
@@ -10,27 +10,27 @@
 	"sync"
 )
 
-// errServerCommand is wrapped by the errors of commands that the process of the servers failed to execute.
-var errServerCommand = errors.New("servers failed to execute a command")
+// errServerCommand is wrapped by the error of a command that the server process failed to execute.
+var errServerCommand = errors.New("server process failed to execute a command")
 
-// serverProcess controls the process of a run's servers.
+// serverProcess controls the server process of a run.
 type serverProcess struct {
 	running []runningServer // in the order of the serverSpec
 
 	cmd     *exec.Cmd
 	stdin   io.WriteCloser
-	mu      sync.Mutex // held from a command until its response
+	mu      sync.Mutex // held from sending a command until its response is read
 	encoder *json.Encoder
 	decoder *json.Decoder
 }
 
-// runningServer is a server that the process has started.
+// runningServer is a server that the server process has started.
 type runningServer struct {
 	serverIdentity
 	address string // host:port
 }
 
-// startServerProcess starts this executable as the process of the servers.
+// startServerProcess starts this executable as the server process.
 func startServerProcess(spec serverSpec) (*serverProcess, error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	if err := servers.initialize(spec); err != nil {
 		servers.stop()
-		return nil, fmt.Errorf("starting the servers: %w", err)
+		return nil, fmt.Errorf("starting the server process: %w", err)
 	}
 	return servers, nil
 }
@@ -73,7 +73,7 @@
 		return err
 	}
 	if len(addresses) != len(spec.Servers) {
-		return fmt.Errorf("%d addresses for %d servers", len(addresses), len(spec.Servers))
+		return fmt.Errorf("server process returned %d addresses for %d servers", len(addresses), len(spec.Servers))
 	}
 	for i, identity := range spec.Servers {
 		p.running = append(p.running, runningServer{serverIdentity: identity, address: addresses[i]})
@@ -81,13 +81,13 @@
 	return nil
 }
 
-// stopServer stops a server, with its connections and its state.
+// stopServer stops a server, which loses its connections and its state.
 func (p *serverProcess) stopServer(name string) error {
 	_, err := p.execute(serverCommand{Action: actionStopServer, Server: name})
 	return err
 }
 
-// startServer starts a server that was stopped.
+// startServer starts a stopped server.
 func (p *serverProcess) startServer(name string) error {
 	_, err := p.execute(serverCommand{Action: actionStartServer, Server: name})
 	return err
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	if response.Report == nil {
-		return nil, fmt.Errorf("%w: the report is missing", errServerCommand)
+		return nil, fmt.Errorf("%w: its response contains no report", errServerCommand)
 	}
 	return response.Report, nil
 }
@@ -122,8 +122,8 @@
 	return response, nil
 }
 
-// stop ends the input of the process, which makes it exit, and waits for that.
+// stop closes the input of the process, which makes it exit, and waits for the exit.
 func (p *serverProcess) stop() {
 	p.stdin.Close()
-	_ = p.cmd.Wait() // its exit status does not matter: all responses were read
+	_ = p.cmd.Wait() // the exit status does not matter: all responses have been read
 }
--- a/internal/faulttest/serverprotocol.go
+++ b/internal/faulttest/serverprotocol.go
@@ -6,9 +6,9 @@
 	"pinedale/internal/standin/fakebackend"
 )
 
-// A run and the process of its servers exchange JSON values over that process's standard input and output. The run
-// sends a serverSpec, which is answered with the addresses of the servers in order, and then any number of
-// serverCommands, each of which is answered with a serverResponse. The process exits at the end of its input.
+// A run and its server process exchange JSON values over the standard input and output of the server process. The run
+// sends a serverSpec, and the process responds with the addresses of the servers in order. The run then sends any
+// number of serverCommands, and the process responds to each with a serverResponse. It exits at the end of its input.
 
 // serverSpec describes the servers to start.
 type serverSpec struct {
@@ -27,28 +27,28 @@
 // serverAction is what a serverCommand requests.
 type serverAction string
 
-// The actions.
+// The actions that a server process executes.
 const (
 	actionStopServer  serverAction = "stop"
-	actionStartServer serverAction = "start" // at the address that the server had before
+	actionStartServer serverAction = "start" // at its previous address
 	actionReport      serverAction = "report"
 )
 
 // serverCommand requests an action.
 type serverCommand struct {
 	Action serverAction
-	Server string // name, of the server to stop or start
+	Server string // name of the server to stop or start
 }
 
-// serverResponse answers a serverCommand.
+// serverResponse is the response to a serverCommand.
 type serverResponse struct {
-	Error  string        // why the action failed, "" if it did not
+	Error  string        // why the action failed, or ""
 	Report *serverReport // for actionReport
 }
 
 // serverReport is what the servers have observed so far.
 type serverReport struct {
 	Executions       map[string]int // of each effect
-	DuplicateEffects []string       // effects that must be executed at most once and were not
-	Stalls           []stall        // of the servers' process
+	DuplicateEffects []string       // effects executed more often than their class allows
+	Stalls           []stall        // of the server process
 }
--- a/internal/faulttest/setup.go
+++ b/internal/faulttest/setup.go
@@ -13,7 +13,7 @@
 	"pinedale/internal/standin/fakediscovery"
 )
 
-// serverFaults are failures of the servers themselves, in all runs: they cause retries without any other fault.
+// serverFaults are injected by the servers themselves in all runs, so that retries occur without any other fault.
 var serverFaults = fakebackend.Faults{
 	Reject:       0.03,
 	Error:        0.03,
@@ -22,22 +22,22 @@
 }
 
 const (
-	serviceTime = 10 * time.Millisecond // of a request, at a server
+	serviceTime = 10 * time.Millisecond // of each request
 	podSize     = 2                     // servers
 	keyBytes    = 32
-	keySequence = 3 // random sequence of the schedule's seed that the key is drawn from
+	keySequence = 3 // random sequence of the schedule's seed that the shared key is drawn from
 )
 
-// Names in the instances' configuration and endpoint lists. There is one site with one kind of server.
+// Names in the instances' configuration and endpoint lists. There is one site, and all servers are of one kind.
 const (
-	siteName     = "a"
-	serverKind   = "box"
-	healthReady  = "Ready"
-	healthDrains = "Terminating"
+	siteName       = "a"
+	serverKind     = "box"
+	healthReady    = "Ready"
+	healthDraining = "Terminating"
 )
 
 // start starts the servers, the relays and the instances.
-func (r *rig) start() error {
+func (r *testRun) start() error {
 	if err := r.startServers(); err != nil {
 		return err
 	}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// startServers starts the process of the servers.
-func (r *rig) startServers() error {
+// startServers starts the server process.
+func (r *testRun) startServers() error {
 	spec := serverSpec{
 		Seed:        r.options.Schedule.Seed,
 		ServiceTime: serviceTime,
@@ -80,8 +80,8 @@
 	return err
 }
 
-// writeKey writes the file with the key that the instances share, which follows from the seed.
-func (r *rig) writeKey() error {
+// writeKey writes the file with the key that the instances share. The key is drawn from the seed.
+func (r *testRun) writeKey() error {
 	rng := rand.New(rand.NewPCG(r.options.Schedule.Seed, keySequence))
 	key := make([]byte, keyBytes)
 	for i := range key {
@@ -92,7 +92,7 @@
 }
 
 // addInstance adds an instance without starting it.
-func (r *rig) addInstance(name string) error {
+func (r *testRun) addInstance(name string) error {
 	logFile, err := os.Create(filepath.Join(r.options.Dir, name+".log"))
 	if err != nil {
 		return err
@@ -107,9 +107,9 @@
 	return added.allocateAddresses()
 }
 
-// connect starts the relays of an instance: from clients, to the other instances, to the servers and to its discovery
-// service. That service lists the servers at the addresses of their relays.
-func (r *rig) connect(i *instance) error {
+// connect starts the relays from clients to an instance, and from the instance to the other instances, to the servers
+// and to its discovery service, which lists the servers at the addresses of their relays.
+func (r *testRun) connect(i *instance) error {
 	clientAddress, err := r.network.connect(schedule.Clients, i.name, i.httpAddress)
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 }
 
 // connectPeers starts the relays from an instance to the other instances.
-func (r *rig) connectPeers(i *instance) error {
+func (r *testRun) connectPeers(i *instance) error {
 	i.peerRelays = map[string]string{}
 	for _, peer := range r.instances {
 		if peer == i {
@@ -148,7 +148,7 @@
 }
 
 // connectServers starts the relays from an instance to the servers and returns the entries of its endpoint list.
-func (r *rig) connectServers(i *instance) ([]fakediscovery.Host, error) {
+func (r *testRun) connectServers(i *instance) ([]fakediscovery.Host, error) {
 	var hosts []fakediscovery.Host
 	for _, server := range r.servers.running {
 		address, err := r.network.connect(i.name, server.Name, server.address)
@@ -168,8 +168,8 @@
 	return hosts, nil
 }
 
-// stop stops everything that the run has started.
-func (r *rig) stop() {
+// stop stops all processes, relays and discovery services of the run.
+func (r *testRun) stop() {
 	for _, instance := range r.instances {
 		if current := instance.currentProcess(); current != nil {
 			instance.signalProcess(current, syscall.SIGKILL)
--- a/internal/faulttest/stall.go
+++ b/internal/faulttest/stall.go
@@ -8,7 +8,7 @@
 	"pinedale/internal/faulttest/history"
 )
 
-// stallInterval is how often observeStalls checks whether its process was scheduled in time.
+// stallInterval is how often observeStalls checks whether its process has been scheduled in time.
 const stallInterval = 50 * time.Millisecond
 
 // stall is a period in which a process was not scheduled.
@@ -17,7 +17,7 @@
 	End   time.Time
 }
 
-// observeStalls reports each stall of this process until the context is done.
+// observeStalls reports each stall of this process until ctx is done.
 func observeStalls(ctx context.Context, report func(stall)) {
 	for last := time.Now(); ctxtime.Sleep(ctx, stallInterval); last = time.Now() {
 		if now := time.Now(); now.Sub(last) > history.MinStall {
@@ -26,8 +26,8 @@
 	}
 }
 
-// recordStall adds a stall of this process or of the servers' process to the history.
-func (r *rig) recordStall(recorded stall) {
+// recordStall adds a stall of this process or of the server process to the history.
+func (r *testRun) recordStall(recorded stall) {
 	r.recorder.record(func(h *history.History) {
 		h.Stalls = append(h.Stalls, history.Stall{
 			Start: recorded.Start.Sub(r.loadStart),
