--- a/cmd/pinedale-faulttest/commands.go
+++ b/cmd/pinedale-faulttest/commands.go
@@ -15,26 +15,27 @@
 	"pinedale/internal/faulttest/schedule"
 )
 
-// newRootCommand returns the command line, which prints to out.
+// newRootCommand returns the root command, which prints to out.
 func newRootCommand(out io.Writer) *cobra.Command {
-	player := &player{out: out}
-	root := cli.NewRoot(programName, "several processes of pinedale-proxy, and faults between them", out)
+	runner := &runner{out: out}
+	root := cli.NewRoot(programName, "run fault tests on processes of pinedale-proxy", out)
 	flags := root.PersistentFlags()
-	flags.StringVar(&player.program, "program", siblingProgram("pinedale-proxy"), "the program whose processes are run")
-	flags.StringVar(&player.upgradeProgram, "next", "", "another build of it, that faults of kind build go over to")
-	flags.StringVar(&player.dir, "dir", "",
-		"folder for files and logs; one that is removed if all went well, where it is not given")
+	flags.StringVar(&runner.program, "program", siblingProgram("pinedale-proxy"), "path of pinedale-proxy")
+	flags.StringVar(&runner.upgradeProgram, "next", "",
+		"path of another build of pinedale-proxy, which faults of kind build change to")
+	flags.StringVar(&runner.dir, "dir", "",
+		"directory for configuration, logs and stored runs; by default a temporary one, removed if there are no findings")
 	root.AddCommand(
-		newRunCommand(player),
-		newReplayCommand(player),
-		newShrinkCommand(player),
+		newRunCommand(runner),
+		newReplayCommand(runner),
+		newShrinkCommand(runner),
 		newReportCommand(),
-		newLargeListCommand(player),
+		newLargeListCommand(runner),
 	)
 	return root
 }
 
-// drawOptions are the flags of run that determine the schedules to draw.
+// drawOptions are the flags of the command run that determine which schedules are drawn.
 type drawOptions struct {
 	firstSeed    uint64
 	seeds        int
@@ -45,7 +46,7 @@
 	agreement    string
 }
 
-// draw draws the schedules of successive seeds.
+// draw draws the schedules of consecutive seeds.
 func (o *drawOptions) draw() []*schedule.Schedule {
 	var schedules []*schedule.Schedule
 	for i := range o.seeds {
@@ -57,61 +58,61 @@
 	return schedules
 }
 
-// runDescription is the description of run.
-const runDescription = "Play schedules drawn from seeds, or the one of a TOML file. " +
-	"A run that breaks a rule is kept as NAME.json in the\n" +
-	"folder, with its schedule as NAME.toml, and the command ends with an error that names its seed."
+// runDescription is the long help of the command run.
+const runDescription = "Run schedules drawn from seeds, or the one in a TOML file, and check the results. " +
+	"A run with findings is stored as\nrun.json in a directory of its own, with its schedule as schedule.toml. " +
+	"The command then fails with an error that names\nthe schedule."
 
-// newRunCommand returns the command that plays drawn schedules, or that of a file.
-func newRunCommand(player *player) *cobra.Command {
+// newRunCommand returns the command that runs drawn schedules, or the one in a file.
+func newRunCommand(runner *runner) *cobra.Command {
 	var options drawOptions
 	command := &cobra.Command{
 		Use:   "run [SCENARIO]",
-		Short: "play schedules drawn from seeds, or one of a file, and check what came of them",
+		Short: "run schedules drawn from seeds, or one from a file, and check the results",
 		Long:  runDescription,
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return player.playAll(command.Context(), options.draw())
+				return runner.runAll(command.Context(), options.draw())
 			}
 			read, err := readSchedule(args[0])
 			if err != nil {
 				return err
 			}
-			return player.playAll(command.Context(), []*schedule.Schedule{read})
+			return runner.runAll(command.Context(), []*schedule.Schedule{read})
 		},
 	}
 	flags := command.Flags()
-	flags.Uint64Var(&options.firstSeed, "seed", 1, "of the first schedule")
-	flags.IntVar(&options.seeds, "seeds", 1, "schedules to play, each of the next seed")
-	flags.IntVar(&player.parallel, "parallel", 1, "schedules played at once")
-	flags.IntVar(&options.instances, "instances", 5, "of pinedale-proxy, 3 to 24")
-	flags.IntVar(&options.servers, "servers", 6, "in pods of two")
-	flags.DurationVar(&options.loadDuration, "length", 8*time.Second, "of the load")
-	flags.Float64Var(&options.rate, "rate", 60, "effects asked for a second")
+	flags.Uint64Var(&options.firstSeed, "seed", 1, "seed of the first schedule")
+	flags.IntVar(&options.seeds, "seeds", 1, "number of schedules, with consecutive seeds")
+	flags.IntVar(&runner.parallel, "parallel", 1, "schedules that run at the same time")
+	flags.IntVar(&options.instances, "instances", 5, "instances of pinedale-proxy, 3 to 24")
+	flags.IntVar(&options.servers, "servers", 6, "servers, in pods of two")
+	flags.DurationVar(&options.loadDuration, "length", 8*time.Second, "duration of the load")
+	flags.Float64Var(&options.rate, "rate", 60, "requested effects per second")
 	flags.StringVar(&options.agreement, "agree", string(schedule.AgreeAlways),
-		"of the keyed classes: never, soon or always")
+		"when instances agree on an idempotency key: never, soon or always")
 	return command
 }
 
-// newReplayCommand returns the command that plays the schedule of a stored run.
-func newReplayCommand(player *player) *cobra.Command {
+// newReplayCommand returns the command that runs the schedule of a stored run again.
+func newReplayCommand(runner *runner) *cobra.Command {
 	return &cobra.Command{
 		Use:   "replay FILE",
-		Short: "play the schedule of a run that was kept once more",
+		Short: "run the schedule of a stored run again",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			read, err := readSchedule(args[0])
 			if err != nil {
 				return err
 			}
-			return player.playAll(command.Context(), []*schedule.Schedule{read})
+			return runner.runAll(command.Context(), []*schedule.Schedule{read})
 		},
 	}
 }
 
 // newShrinkCommand returns the command that searches for the fewest faults with which a schedule fails.
-func newShrinkCommand(player *player) *cobra.Command {
+func newShrinkCommand(runner *runner) *cobra.Command {
 	var attempts int
 	command := &cobra.Command{
 		Use:   "shrink FILE",
@@ -123,7 +124,7 @@
 				return err
 			}
 			shrunk := read.Shrink(func(candidate *schedule.Schedule) bool {
-				return player.failsWithin(command.Context(), candidate, attempts)
+				return runner.failsWithin(command.Context(), candidate, attempts)
 			})
 			if err := command.Context().Err(); err != nil {
 				return err
@@ -132,21 +133,21 @@
 			if err != nil {
 				return err
 			}
-			_, err = player.out.Write(text)
+			_, err = runner.out.Write(text)
 			return err
 		},
 	}
 	command.Flags().IntVar(&attempts, "attempts", 3,
-		"plays without a fault found, from which a schedule counts as good: "+
-			"processes run in real time, and not each play fails")
+		"runs without findings after which a schedule counts as passed; "+
+			"processes run in real time, so that a failing schedule does not fail in every run")
 	return command
 }
 
-// newReportCommand returns the command that writes a report of a stored run.
+// newReportCommand returns the command that writes the report of a stored run.
 func newReportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "report FILE.json PAGE.html",
-		Short: "draw a run that was kept: service and each instance's view, with the faults marked",
+		Short: "write an HTML report of a stored run, with plots of its attempts and of the instances' views",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			history, err := faulttest.ReadHistory(args[0])
@@ -167,7 +168,7 @@
 	return filepath.Join(filepath.Dir(executable), name)
 }
 
-// readSchedule reads the schedule of a TOML file, or that of a stored run, whose file name ends with ".json".
+// readSchedule reads the schedule in a TOML file, or that of a stored run if the file name ends with ".json".
 func readSchedule(path string) (*schedule.Schedule, error) {
 	if filepath.Ext(path) == ".json" {
 		history, err := faulttest.ReadHistory(path)
--- a/cmd/pinedale-faulttest/commands_test.go
+++ b/cmd/pinedale-faulttest/commands_test.go
@@ -14,7 +14,7 @@
 	"pinedale/internal/faulttest/schedule"
 )
 
-// execute executes a command line and returns what it prints.
+// execute executes a command line and returns what it printed.
 func execute(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -62,7 +62,7 @@
 	}
 	for _, want := range []string{"seed 7: ", "seed 8: ", "build ./cmd/pinedale-proxy", "\n2 schedules, 0 faults, "} {
 		if !strings.Contains(out, want) {
-			t.Errorf("printed %q, want %q in it", out, want)
+			t.Errorf("printed %q, want it to contain %q", out, want)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 func TestReadScheduleAcceptsScenario(t *testing.T) {
 	read, err := readSchedule(filepath.Join("..", "..", "scenarios", "fleet", "halves.toml"))
 	if err != nil || read.Name != "halves" {
-		t.Errorf("read %+v, error %v", read, err)
+		t.Errorf("read %+v, error %v, want a schedule named %q", read, err, "halves")
 	}
 }
 
@@ -100,7 +100,8 @@
 	}
 	for i, s := range drawn {
 		if s.Seed != options.firstSeed+uint64(i) || s.Rate != options.rate || s.Agreement != schedule.AgreeSoon {
-			t.Errorf("schedule %d is %+v", i, s)
+			t.Errorf("schedule %d is %+v, want seed %d, rate %v and agreement %q", i, s,
+				options.firstSeed+uint64(i), options.rate, schedule.AgreeSoon)
 		}
 	}
 }
@@ -108,7 +109,7 @@
 func TestCompletionIsOffered(t *testing.T) {
 	script, err := execute(t, "completion", "bash")
 	if err != nil || !strings.Contains(script, programName) {
-		t.Errorf("error %v, completion script %q", err, script)
+		t.Errorf("error %v, completion script %q, want one for %s", err, script, programName)
 	}
 }
 
@@ -117,6 +118,6 @@
 	missing := filepath.Join(t.TempDir(), "missing")
 	code := cli.Execute(t.Context(), newRootCommand(&out), []string{"run", "-program", missing, "-seed", "7"}, &stderr)
 	if code != 1 || !strings.Contains(out.String(), "seed 7: ") {
-		t.Errorf("exit code %d, printed %q and %q", code, out.String(), stderr.String())
+		t.Errorf("exit code %d, printed %q and %q, want code 1 and a line for seed 7", code, out.String(), stderr.String())
 	}
 }
--- a/cmd/pinedale-faulttest/main.go
+++ b/cmd/pinedale-faulttest/main.go
@@ -17,8 +17,8 @@
 
 func main() { os.Exit(run()) }
 
-// run executes the command line, or runs the servers in a process that faulttest.Run has started for that. It returns
-// the exit code.
+// run executes the command line, or runs the servers if faulttest.Run has started this process as its server process.
+// It returns the exit code.
 func run() int {
 	if served, err := faulttest.ServeIfServerProcess(); served {
 		if err != nil {
--- a/cmd/pinedale-faulttest/play.go
+++ b/cmd/pinedale-faulttest/play.go
@@ -17,22 +17,22 @@
 	"pinedale/internal/faulttest/schedule"
 )
 
-// player plays schedules and prints their results.
-type player struct {
+// runner runs schedules and prints their results.
+type runner struct {
 	out            io.Writer
-	program        string // pinedale-proxy
-	upgradeProgram string // for faults of kind schedule.Upgrade, "" for the same program
-	dir            string // of stored runs, "" to store only those with findings, in the system's temporary directory
-	parallel       int    // schedules that are played at the same time
+	program        string // path of pinedale-proxy
+	upgradeProgram string // path of the program for faults of kind schedule.Upgrade; program if empty
+	dir            string // directory of stored runs; if empty, runs with findings are kept in the temporary directory
+	parallel       int    // schedules that run at the same time
 }
 
-// playAll plays schedules and prints a result for each, and their totals. It returns an error if a run failed or has
+// runAll runs schedules and prints the result of each, and the totals. It returns an error if a run failed or has
 // findings.
-func (p *player) playAll(ctx context.Context, schedules []*schedule.Schedule) error {
+func (r *runner) runAll(ctx context.Context, schedules []*schedule.Schedule) error {
 	var totals totals
 	var mu sync.Mutex // guards out and totals
 	var runs sync.WaitGroup
-	slots := make(chan struct{}, max(1, p.parallel))
+	slots := make(chan struct{}, max(1, r.parallel))
 	for _, s := range schedules {
 		runs.Go(func() {
 			slots <- struct{}{}
@@ -40,16 +40,16 @@
 			if ctx.Err() != nil {
 				return
 			}
-			recorded, err := p.play(ctx, s)
+			recorded, err := r.run(ctx, s)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				printFailure(p.out, s, err)
+				printFailure(r.out, s, err)
 				totals.addFailure(s, err)
 				return
 			}
 			result := newRunResult(recorded)
-			result.print(p.out)
+			result.print(r.out)
 			totals.add(result)
 		})
 	}
@@ -57,15 +57,15 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	totals.print(p.out, len(schedules))
+	totals.print(r.out, len(schedules))
 	return totals.err(len(schedules))
 }
 
-// failsWithin reports whether one of several runs of a schedule has findings. It also returns true if the context is
-// done, so that a search ends.
-func (p *player) failsWithin(ctx context.Context, s *schedule.Schedule, attempts int) bool {
+// failsWithin reports whether one of several runs of a schedule has findings. It also returns true once ctx is done, so
+// that Shrink ends early.
+func (r *runner) failsWithin(ctx context.Context, s *schedule.Schedule, attempts int) bool {
 	for range attempts {
-		recorded, err := p.play(ctx, s)
+		recorded, err := r.run(ctx, s)
 		if ctx.Err() != nil {
 			return true
 		}
@@ -76,28 +76,28 @@
 	return false
 }
 
-// play plays a schedule in a directory of its own. The directory is removed if the run has no findings and no
-// directory for stored runs was given.
-func (p *player) play(ctx context.Context, s *schedule.Schedule) (*history.History, error) {
-	program, err := exec.LookPath(p.program)
+// run runs a schedule in a directory of its own. The directory is removed if the run has no findings and no directory
+// for stored runs was given.
+func (r *runner) run(ctx context.Context, s *schedule.Schedule) (*history.History, error) {
+	program, err := exec.LookPath(r.program)
 	if err != nil {
-		return nil, fmt.Errorf("%w: build ./cmd/pinedale-proxy, or name it with --program", err)
+		return nil, fmt.Errorf("%w: build ./cmd/pinedale-proxy, or set its path with --program", err)
 	}
-	dir, err := os.MkdirTemp(p.dir, "run-")
+	dir, err := os.MkdirTemp(r.dir, "run-")
 	if err != nil {
 		return nil, err
 	}
 	recorded, err := faulttest.Run(ctx, faulttest.Options{
 		Schedule:       s,
 		Program:        program,
-		UpgradeProgram: p.upgradeProgram,
+		UpgradeProgram: r.upgradeProgram,
 		Dir:            dir,
 		Log:            slog.Default(),
 	})
 	if err != nil {
 		return nil, err
 	}
-	if p.dir == "" && len(recorded.Check()) == 0 {
+	if r.dir == "" && len(recorded.Check()) == 0 {
 		os.RemoveAll(dir)
 		return recorded, nil
 	}
--- a/cmd/pinedale-faulttest/result.go
+++ b/cmd/pinedale-faulttest/result.go
@@ -14,7 +14,7 @@
 // errFailedSchedules is wrapped by the error of a command whose runs failed or have findings.
 var errFailedSchedules = errors.New("schedules failed")
 
-// maxPrintedFindings bounds the findings that are printed for one run.
+// maxPrintedFindings is the highest number of findings that are printed for one run.
 const maxPrintedFindings = 5
 
 // The precision of printed durations.
@@ -31,7 +31,7 @@
 	findings        []history.Finding
 }
 
-// newRunResult returns the result of a run with a history.
+// newRunResult returns the result of the run that a history records.
 func newRunResult(recorded *history.History) *runResult {
 	return &runResult{
 		schedule:        recorded.Schedule,
@@ -41,10 +41,10 @@
 	}
 }
 
-// print prints the result in one line, followed by findings and, if there are any, the faults.
+// print prints the result in one line. If there are findings, some of them and all faults of the schedule follow.
 func (r *runResult) print(out io.Writer) {
-	fmt.Fprintf(out, "%s: %d faults, %d effects, %d tries, served %.1f%% (median %v, 99%% %v), "+
-		"same copies after %v, %d findings\n",
+	fmt.Fprintf(out, "%s: %d faults, %d effects, %d attempts, served %.1f%% (median %v, 99%% %v), "+
+		"replicas equal after %v, %d findings\n",
 		r.schedule.Name, len(r.schedule.Faults), r.summary.Effects, r.summary.Attempts, r.summary.ServedPercent(),
 		r.summary.MedianLatency.Round(latencyPrecision), r.summary.P99Latency.Round(latencyPrecision),
 		r.convergenceTime.Round(convergencePrecision), len(r.findings))
@@ -62,17 +62,17 @@
 	}
 }
 
-// printFailure prints that a run failed without a result.
+// printFailure prints the error of a run that failed without a result.
 func printFailure(out io.Writer, s *schedule.Schedule, err error) {
 	fmt.Fprintf(out, "%s: %v\n", s.Name, err)
 }
 
-// totals sums the results of several runs. The zero value has none.
+// totals sums the results of several runs.
 type totals struct {
 	summary          history.Summary
 	faults           int
 	convergenceTimes []time.Duration
-	failures         []string // schedules that failed, with the reason if there is no result
+	failures         []string // names of the schedules that failed, with the error of runs without a result
 }
 
 // add adds the result of a run.
@@ -92,15 +92,15 @@
 
 // print prints the totals in one line.
 func (t *totals) print(out io.Writer, schedules int) {
-	fmt.Fprintf(out, "%d schedules, %d faults, %d effects, %d tries "+
-		"(%d keyed ones at another instance than the one before), answers by code %v, served %.1f%%; "+
-		"same copies after %v (median), %v (nine of ten), %v (at most)\n",
+	fmt.Fprintf(out, "%d schedules, %d faults, %d effects, %d attempts "+
+		"(%d with a key at another instance than the previous attempt), responses by status %v, served %.1f%%; "+
+		"replicas equal after %v (median), %v (90th percentile), %v (maximum)\n",
 		schedules, t.faults, t.summary.Effects, t.summary.Attempts,
 		t.summary.InstanceChanges, t.summary.ByStatus, t.summary.ServedPercent(),
 		t.convergenceQuantile(0.5), t.convergenceQuantile(0.9), t.convergenceQuantile(1))
 }
 
-// convergenceQuantile returns a quantile, 0 to 1, of the convergence times, 0 if there are none.
+// convergenceQuantile returns a quantile (0 to 1) of the convergence times, or 0 if there are none.
 func (t *totals) convergenceQuantile(quantile float64) time.Duration {
 	count := len(t.convergenceTimes)
 	if count == 0 {
@@ -111,7 +111,7 @@
 	return sorted[index].Round(convergencePrecision)
 }
 
-// err returns an error that names the schedules that failed, nil if none did.
+// err returns an error that names the schedules that failed, or nil if none failed.
 func (t *totals) err(schedules int) error {
 	if len(t.failures) == 0 {
 		return nil
--- a/cmd/pinedale-faulttest/result_test.go
+++ b/cmd/pinedale-faulttest/result_test.go
@@ -12,7 +12,7 @@
 	"pinedale/internal/tomlfile"
 )
 
-// testResult returns a result with some findings.
+// testResult returns a result with the given number of findings.
 func testResult(name string, convergenceTime time.Duration, findings int) *runResult {
 	result := &runResult{
 		schedule: &schedule.Schedule{
@@ -43,8 +43,8 @@
 }
 
 func TestPrintedResultKeepsItsForm(t *testing.T) {
-	const line = "seed 1: 1 faults, 8 effects, 10 tries, served 87.5% (median 20.3ms, 99% 361.2ms), " +
-		"same copies after 600ms, "
+	const line = "seed 1: 1 faults, 8 effects, 10 attempts, served 87.5% (median 20.3ms, 99% 361.2ms), " +
+		"replicas equal after 600ms, "
 	const faults = "  with 1s to 2s kill of i-1\n"
 	const fiveFindings = "  no crash: i-1\n  no crash: i-2\n  no crash: i-3\n  no crash: i-4\n  no crash: i-5\n"
 	for _, test := range []struct {
@@ -72,15 +72,15 @@
 	sums.addFailure(&schedule.Schedule{Name: "seed 10"}, errors.New("no program"))
 	var out bytes.Buffer
 	sums.print(&out, 11)
-	const want = "11 schedules, 10 faults, 80 effects, 100 tries " +
-		"(20 keyed ones at another instance than the one before), answers by code map[200:70 502:10], served 87.5%; " +
-		"same copies after 6s (median), 10s (nine of ten), 10s (at most)\n"
+	const want = "11 schedules, 10 faults, 80 effects, 100 attempts (20 with a key at another instance " +
+		"than the previous attempt), responses by status map[200:70 502:10], served 87.5%; " +
+		"replicas equal after 6s (median), 10s (90th percentile), 10s (maximum)\n"
 	if out.String() != want {
 		t.Errorf("printed\n%s\nwant\n%s", out.String(), want)
 	}
 	err := sums.err(11)
 	if !errors.Is(err, errFailedSchedules) || err.Error() != "2 of 11 schedules failed: [seed 9 seed 10: no program]" {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want errFailedSchedules with the names of two schedules", err)
 	}
 }
 
@@ -88,6 +88,6 @@
 	var sums totals
 	sums.add(testResult("seed 1", time.Second, 0))
 	if err := sums.err(1); err != nil {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want nil", err)
 	}
 }
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -7,8 +7,8 @@
 //
 //	PACKAGE TEST: what was seen (command COMMAND; seed N; issue N)
 //
-// The listed tests run like all others, and their failures are printed. Whatever else fails, a package that
-// does not build or ends early among it, makes the command exit with 1.
+// The listed tests run like all others, and their failures are printed. Any other failure makes the command exit with
+// 1, and so does a package that does not build or whose tests end early.
 package main
 
 import (
@@ -24,15 +24,15 @@
 	"strings"
 )
 
-// lineForm is the form of a line of the list, and detailsForm what follows the colon in it.
+// lineForm is the form of a line of the list. detailsForm matches the part after the colon.
 const lineForm = "PACKAGE TEST: what was seen (command COMMAND; seed N; issue N)"
 
 var detailsForm = regexp.MustCompile(`\S.*\(command \S.*; seed \S+; issue \d+\)$`)
 
-// maxLineBytes bounds one event: a test may print much in one line.
+// maxLineBytes is the length of the longest event that is read: a test may print a lot in one line.
 const maxLineBytes = 16 << 20
 
-// event is what `go test -json` prints of a test or a package (see `go doc test2json`).
+// event is an event of `go test -json` about a test or a package (see `go doc test2json`).
 type event struct {
 	Action      string
 	Package     string
@@ -45,7 +45,7 @@
 // testID names a top-level test.
 type testID struct{ pkg, test string }
 
-// knownRed holds the reason of each test that may fail.
+// knownRed holds the reasons of the tests that may fail.
 type knownRed map[testID]string
 
 func main() {
@@ -64,7 +64,7 @@
 	}
 }
 
-// run copies what a person wants of the events to out, and returns an error unless only listed tests failed.
+// run prints those parts of the events that people read to out. It returns an error unless only listed tests failed.
 func run(list string, events io.Reader, out io.Writer) error {
 	known, err := parseList(list)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return results.report(known, out)
 }
 
-// parseList reads the lines of KNOWN-RED.txt.
+// parseList parses the text of KNOWN-RED.txt.
 func parseList(text string) (knownRed, error) {
 	known := knownRed{}
 	for number, line := range strings.Split(text, "\n") {
@@ -108,7 +108,7 @@
 	return known, nil
 }
 
-// results collects what the events report.
+// results collects the results that the events report.
 type results struct {
 	outputs        map[testID][]string
 	failed, passed map[testID]bool
@@ -116,7 +116,7 @@
 	packages       int
 }
 
-// add records an event and prints a package's own lines.
+// add records an event. It prints output that does not belong to a test.
 func (r *results) add(e event, out io.Writer) {
 	test, _, _ := strings.Cut(e.Test, "/")
 	id := testID{e.Package, test}
@@ -136,7 +136,7 @@
 	}
 }
 
-// finish records the end of a test or of a package.
+// finish records the end of a test or of a package. It prints the output of a test that failed.
 func (r *results) finish(e event, id testID, out io.Writer) {
 	if e.Test == "" {
 		r.packages++
@@ -146,7 +146,7 @@
 		return
 	}
 	if strings.Contains(e.Test, "/") {
-		return // its top-level test fails with it
+		return // a failed subtest also fails its top-level test
 	}
 	if e.Action == "fail" {
 		r.failed[id] = true
@@ -159,11 +159,11 @@
 	delete(r.outputs, id)
 }
 
-// report prints the listed tests with what became of them and returns what else failed.
+// report prints the result of each listed test, and returns an error for all other failures.
 func (r *results) report(known knownRed, out io.Writer) error {
-	var faults []error
+	var failures []error
 	if r.packages == 0 {
-		faults = append(faults, errors.New("no package was tested"))
+		failures = append(failures, errors.New("no package was tested"))
 	}
 	explained := map[string]bool{}
 	for _, id := range slices.SortedFunc(maps.Keys(known), compare) {
@@ -173,30 +173,30 @@
 			state = "fails"
 			explained[id.pkg] = true
 		case r.passed[id]:
-			state = "passes now: take its line out"
+			state = "passes now: remove its line"
 		default:
-			faults = append(faults, fmt.Errorf("%s %s is listed and did not run", id.pkg, id.test))
+			failures = append(failures, fmt.Errorf("%s %s is listed but did not run", id.pkg, id.test))
 		}
 		fmt.Fprintf(out, "KNOWN RED %s %s: %s (%s)\n", id.pkg, id.test, state, known[id])
 	}
 	for _, id := range slices.SortedFunc(maps.Keys(r.failed), compare) {
 		explained[id.pkg] = true
 		if _, listed := known[id]; !listed {
-			faults = append(faults, fmt.Errorf("%s %s failed", id.pkg, id.test))
+			failures = append(failures, fmt.Errorf("%s %s failed", id.pkg, id.test))
 		}
 	}
 	for _, pkg := range slices.Sorted(maps.Keys(r.failedPackages)) {
 		if !explained[pkg] {
-			faults = append(faults, fmt.Errorf("%s failed without a failing test", pkg))
+			failures = append(failures, fmt.Errorf("%s failed without a failing test", pkg))
 		}
 	}
-	// What has begun and not ended was cut off by a panic or a time-out: later tests did not run.
+	// A test without an end was cut off by a panic or a timeout. The tests after it did not run.
 	for _, id := range slices.SortedFunc(maps.Keys(r.outputs), compare) {
 		if !r.failed[id] && !r.passed[id] {
-			faults = append(faults, fmt.Errorf("%s %s did not end", id.pkg, id.test))
+			failures = append(failures, fmt.Errorf("%s %s did not end", id.pkg, id.test))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(failures...)
 }
 
 // compare orders tests by package and name.
--- a/tools/knownred/main_test.go
+++ b/tools/knownred/main_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// events turns "ACTION PACKAGE TEST" lines into the JSON of go test -json.
+// events converts lines of the form "ACTION PACKAGE TEST" to events of go test -json.
 func events(t *testing.T, lines ...string) io.Reader {
 	t.Helper()
 	var out strings.Builder
@@ -54,24 +54,30 @@
 		{"nothing was tested", "", nil, "no package was tested"},
 		{"a line names no command", "p TestRed: broken (seed 1; issue 1)\n", []string{"pass p"}, "KNOWN-RED.txt:1"},
 		{"a line names no seed", "p TestRed: broken (command c; issue 1)\n", []string{"pass p"}, "KNOWN-RED.txt:1"},
-		{"a line says not what was seen", "p TestRed: (command c; seed 1; issue 1)\n", []string{"pass p"}, "KNOWN-RED.txt:1"},
+		{
+			"a line does not say what was seen", "p TestRed: (command c; seed 1; issue 1)\n",
+			[]string{"pass p"}, "KNOWN-RED.txt:1",
+		},
 		{"a line names no issue", "p TestRed: broken\n", []string{"pass p"}, "KNOWN-RED.txt:1"},
-		{"a line names a subtest", "p TestRed/case: broken (command c; seed 1; issue 1)\n", []string{"pass p"}, "KNOWN-RED.txt:1"},
+		{
+			"a line names a subtest", "p TestRed/case: broken (command c; seed 1; issue 1)\n",
+			[]string{"pass p"}, "KNOWN-RED.txt:1",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := run(c.list, events(t, c.events...), io.Discard)
 			switch {
 			case c.want == "" && err != nil:
-				t.Errorf("got %v, want no error", err)
+				t.Errorf("run returned error %v, want none", err)
 			case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-				t.Errorf("got %v, want an error with %q", err, c.want)
+				t.Errorf("run returned error %v, want one with %q", err, c.want)
 			}
 		})
 	}
 }
 
-// TestRealRun has go test fail in a module of its own, with and without the test being listed, and with a
-// panic that keeps later tests from running.
+// Runs go test in a temporary module with a failing test, which is listed or not, and with a panic that keeps later
+// tests from running.
 func TestRealRun(t *testing.T) {
 	const source = `package p
 
@@ -104,20 +110,20 @@
 			}
 			test := exec.Command("go", "test", "-json", "./...")
 			test.Dir = dir
-			output, _ := test.Output() // it fails on purpose: the events say how
+			output, _ := test.Output() // the error is expected, since a test fails
 			var printed strings.Builder
 			err := run(c.list, strings.NewReader(string(output)), &printed)
 			if c.want == "" {
 				if err != nil {
-					t.Errorf("got %v, want no error", err)
+					t.Errorf("run returned error %v, want none", err)
 				}
 				if !strings.Contains(printed.String(), "KNOWN RED p TestRed: fails (red on purpose (command c; seed 1; issue 1))") {
-					t.Errorf("the listed test is not printed:\n%s", printed.String())
+					t.Errorf("the result of the listed test is missing in the output:\n%s", printed.String())
 				}
 				return
 			}
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("got %v, want an error with %q", err, c.want)
+				t.Errorf("run returned error %v, want one with %q", err, c.want)
 			}
 		})
 	}
