--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -57,7 +57,7 @@
 			h.waitFor("the watch", func() bool { return h.dir.CallCount() >= 2 })
 			h.dir.Change(func() {
 				h.dir.Down = response == ""
-				h.dir.Broken = response
+				h.dir.InvalidResponse = response
 			})
 			// The open call is answered without a change; the calls after it fail.
 			h.waitFor("the failure and one more", func() bool { return h.spy.listCount(balancer.ListFailed) >= 2 })
@@ -66,7 +66,7 @@
 			}
 			h.dir.Change(func() {
 				h.dir.Down = false
-				h.dir.Broken = ""
+				h.dir.InvalidResponse = ""
 				h.dir.List = fakediscovery.Document{
 					Seq:      1,
 					Complete: true,
--- a/internal/standin/fakediscovery/fakediscovery.go
+++ b/internal/standin/fakediscovery/fakediscovery.go
@@ -62,10 +62,10 @@
 
 	sync.Mutex // guards the fields below
 
-	List   Document // to be altered within Change
-	Down   bool     // every call fails; to be altered within Change
-	Broken string   // the response in place of the list, if not empty; to be altered within Change
-	Calls  []string // query strings so far
+	List            Document // to be altered within Change
+	Down            bool     // every call fails; to be altered within Change
+	InvalidResponse string   // the response in place of the list, if not empty; to be altered within Change
+	Calls           []string // query strings so far
 
 	deltas  []Document // by ApplyChanges since the last other change of the list, with successive versions
 	server  *http.Server
@@ -144,7 +144,7 @@
 		d.acks = append(d.acks, acknowledgement{seq: seq, at: time.Now()})
 	}
 	isCurrent := after == fmt.Sprint(d.List.Seq)
-	return d.changed, isCurrent && waitMS != 0 && !d.Down && d.Broken == ""
+	return d.changed, isCurrent && waitMS != 0 && !d.Down && d.InvalidResponse == ""
 }
 
 // isNewerThanAcknowledged reports whether no caller has acknowledged a version yet. The lock is held.
@@ -184,8 +184,8 @@
 	case d.Down:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_ = json.NewEncoder(w).Encode(d.List) // which the caller must not use
-	case d.Broken != "":
-		_, _ = io.WriteString(w, d.Broken)
+	case d.InvalidResponse != "":
+		_, _ = io.WriteString(w, d.InvalidResponse)
 	case after == fmt.Sprint(d.List.Seq):
 		_ = json.NewEncoder(w).Encode(Document{Seq: d.List.Seq, Hosts: []Host{}})
 	default:
--- a/internal/standin/fakediscovery/fakediscovery_test.go
+++ b/internal/standin/fakediscovery/fakediscovery_test.go
@@ -110,11 +110,11 @@
 	if got := get(t.Context(), d, ""); got.status != http.StatusServiceUnavailable {
 		t.Errorf("down: %+v", got)
 	}
-	d.Change(func() { d.Down, d.Broken = false, "<html>" })
+	d.Change(func() { d.Down, d.InvalidResponse = false, "<html>" })
 	if got := get(t.Context(), d, ""); got.status != http.StatusOK || got.body != "<html>" {
 		t.Errorf("broken: %+v", got)
 	}
-	d.Change(func() { d.Broken = "" })
+	d.Change(func() { d.InvalidResponse = "" })
 	if got := get(t.Context(), d, "").document(t); len(got.Hosts) != 1 {
 		t.Errorf("restored: %+v", got)
 	}
