--- a/internal/standin/fakebackend/fakebackend.go
+++ b/internal/standin/fakebackend/fakebackend.go
@@ -20,18 +20,18 @@
 // unlimitedCores is more than the number of requests that any test has in flight.
 const unlimitedCores = 1 << 20
 
-// seedIncrement tells the seeds of servers apart: 2^64 divided by the golden ratio, as in SplitMix64.
+// seedIncrement makes the seeds of servers differ: 2^64 divided by the golden ratio, as in SplitMix64.
 const seedIncrement = 0x9e3779b97f4a7c15
 
-// Faults are the ratios, from 0 to 1, of requests that a fleet fails. They are drawn by the request's id: the same seed
-// and id fail in the same way at the same server.
+// Faults are the ratios, from 0 to 1, of requests that a fleet fails. The seed and the request's id determine whether a
+// request fails, so that it fails in the same way whenever it is sent to the same server.
 type Faults struct {
 	Reject       float64 // 503 with X-Unprocessed: 1, never executed
 	Error        float64 // 500 after execution
 	Reset        float64 // the connection is closed after execution
 	Unresponsive float64 // no response after execution
 
-	// SameOnAllServers lets a request fail in the same way at every server, so that nothing depends on the choice.
+	// SameOnAllServers makes a request fail in the same way at every server, so that nothing depends on the choice.
 	SameOnAllServers bool
 }
 
@@ -111,7 +111,7 @@
 	return s, nil
 }
 
-// newEmulatedFleet sets the emulated fleet by the exported fields.
+// newEmulatedFleet creates the emulated fleet from the exported fields.
 func (f *Fleet) newEmulatedFleet() {
 	classes := []sockets.Class{{Work: f.ServiceTime}}
 	for _, class := range f.Classes {
--- a/internal/standin/fakebackend/fakebackend_test.go
+++ b/internal/standin/fakebackend/fakebackend_test.go
@@ -40,16 +40,16 @@
 	return response.StatusCode
 }
 
-// A key is remembered by all servers of a group: a second request with it has no effect.
+// All servers of a group deduplicate requests by the same keys: a second request with a key has no effect.
 func TestRequestWithSeenKeyIsDeduplicated(t *testing.T) {
 	fleet := &Fleet{Classes: []balancer.Class{payClass}}
 	first, second := fleet.MustStart(t, "s-1", 0), fleet.MustStart(t, "s-2", 0)
 	if !first.LastRequest().IsZero() {
-		t.Errorf("a request at %v before the first", first.LastRequest())
+		t.Errorf("last request at %v before any was sent", first.LastRequest())
 	}
 	for i, s := range []*Server{first, first, second} {
 		if code := send(t, s, "pay", fmt.Sprint(i), "k"); code != http.StatusOK {
-			t.Errorf("request %d: %d", i, code)
+			t.Errorf("request %d: status code %d, want 200", i, code)
 		}
 	}
 	if got, want := fleet.Counts(), (Counts{Requests: 3, Executed: 1, Deduplicated: 2}); got != want {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Faults are drawn by id and seed. With SameOnAllServers the servers of a fleet agree, else they differ.
+// Faults are drawn by id and seed. With SameOnAllServers, all servers of a fleet draw the same; otherwise they differ.
 func TestSameOnAllServersDrawsEqualFaults(t *testing.T) {
 	const requests = 40
 	codes := func(s *Server) []int {
@@ -104,7 +104,7 @@
 		fleet := &Fleet{Seed: 7, Faults: Faults{Error: 0.5, SameOnAllServers: same}}
 		first, second := codes(fleet.MustStart(t, "s-1", 0)), codes(fleet.MustStart(t, "s-2", 0))
 		if !slices.Contains(first, http.StatusOK) || !slices.Contains(first, http.StatusInternalServerError) {
-			t.Errorf("status codes %v, want some of both", first)
+			t.Errorf("status codes %v, want both 200 and 500", first)
 		}
 		if slices.Equal(first, second) != same {
 			t.Errorf("SameOnAllServers %v: status codes %v and %v", same, first, second)
--- a/internal/standin/fakediscovery/fakediscovery.go
+++ b/internal/standin/fakediscovery/fakediscovery.go
@@ -1,5 +1,5 @@
-// Package fakediscovery provides a discovery service with one endpoint list, served complete or watched, that a test
-// changes, takes down or spoils.
+// Package fakediscovery provides a discovery service for tests. It serves one endpoint list, complete or as changes,
+// to calls that may wait for a change. A test can alter the list, make calls fail, or send an invalid response.
 package fakediscovery
 
 import (
@@ -23,7 +23,7 @@
 	Hosts    []Host `json:"hosts"`
 }
 
-// Host is one entry of a [Document]. Its fields have the names of engine.Host, and in JSON those of discovery.
+// Host is one entry of a [Document]. Fields are named as in engine.Host, and JSON keys as in discovery.
 type Host struct {
 	Name      string  `json:"host"`
 	Address   string  `json:"dial"`
@@ -63,18 +63,18 @@
 	sync.Mutex // guards the fields below
 
 	List            Document // to be altered within Change
-	Down            bool     // every call fails; to be altered within Change
-	InvalidResponse string   // the response in place of the list, if not empty; to be altered within Change
+	Down            bool     // makes every call fail; to be altered within Change
+	InvalidResponse string   // sent in place of the list, if not empty; to be altered within Change
 	Calls           []string // query strings so far
 
-	deltas  []Document // by ApplyChanges since the last other change of the list, with successive versions
+	deltas  []Document // made by ApplyChanges since the last SetHosts, with successive versions
 	server  *http.Server
 	serving sync.WaitGroup
 	changed chan struct{}     // closed and replaced with every change
-	acks    []acknowledgement // each of a newer version than the one before
+	acks    []acknowledgement // in ascending order of version
 }
 
-// acknowledgement is when a caller first said that it has a version.
+// acknowledgement records when a caller first reported that it has a version.
 type acknowledgement struct {
 	seq uint64
 	at  time.Time
@@ -107,7 +107,7 @@
 	return d, nil
 }
 
-// countConn keeps OpenConns.
+// countConn updates OpenConns.
 func (d *Directory) countConn(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -123,8 +123,8 @@
 	d.serving.Wait()
 }
 
-// ServeHTTP responds to a call for the list. A call for what is newer than the current version waits for a change, as
-// long as it asks to. A caller that has disconnected meanwhile gets nothing.
+// ServeHTTP responds to a call for the list. A call for changes after the current version waits for one, for up to the
+// time that it asks for. A caller that disconnects meanwhile gets no response.
 func (d *Directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after := r.FormValue("after")
 	waitMS, _ := strconv.Atoi(r.FormValue("wait_ms")) // 0 if it is absent
@@ -147,13 +147,13 @@
 	return d.changed, isCurrent && waitMS != 0 && !d.Down && d.InvalidResponse == ""
 }
 
-// isNewerThanAcknowledged reports whether no caller has acknowledged a version yet. The lock is held.
+// isNewerThanAcknowledged reports whether a version is newer than all acknowledged ones. The caller holds the lock.
 func (d *Directory) isNewerThanAcknowledged(seq uint64) bool {
 	return len(d.acks) == 0 || seq > d.acks[len(d.acks)-1].seq
 }
 
-// waitForChange waits for a change until timeout. It reports whether the call is to be answered: not if its caller has
-// disconnected, nor at the timeout if the service has been silenced.
+// waitForChange waits for a change until timeout. It reports whether the call gets a response: it gets none if its
+// caller disconnects, and none at the timeout if [Directory.Silence] has been called.
 func (d *Directory) waitForChange(r *http.Request, changed <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-changed:
@@ -169,14 +169,14 @@
 		return true
 	}
 	select {
-	case <-changed: // the change came just now
+	case <-changed: // the list changed at the moment of the timeout
 		return true
 	case <-r.Context().Done():
 		return false
 	}
 }
 
-// respond writes the list, or what stands in its place, to a caller that has the version after.
+// respond writes the list, or what replaces it, to a caller that has the version after.
 func (d *Directory) respond(w http.ResponseWriter, after string) {
 	d.Lock()
 	defer d.Unlock()
@@ -204,8 +204,8 @@
 	d.ListBytes.Add(int64(written))
 }
 
-// newerThan returns the changes since the version after where all of them are known, or else the complete list. The
-// lock is held.
+// newerThan returns the changes since the version after, or the complete list if some of them are not known. The caller
+// holds the lock.
 func (d *Directory) newerThan(after string) Document {
 	seq, err := strconv.ParseUint(after, 10, 64)
 	if err != nil || len(d.deltas) == 0 || seq+1 < d.deltas[0].Seq || seq > d.List.Seq {
@@ -220,7 +220,8 @@
 	return merged
 }
 
-// ApplyChanges makes the next version of the list by changes, which callers that have the version before get alone.
+// ApplyChanges makes the next version of the list from changes. Callers that have the previous version receive only
+// the changes.
 func (d *Directory) ApplyChanges(changes ...Host) {
 	d.Change(func() {
 		d.List.Seq++
@@ -248,7 +249,7 @@
 	})
 }
 
-// Change calls alter under the lock and then answers the calls that wait.
+// Change calls alter under the lock and then responds to the calls that wait.
 func (d *Directory) Change(alter func()) {
 	d.Lock()
 	defer d.Unlock()
@@ -265,12 +266,12 @@
 	})
 }
 
-// SetDown has every call fail, or succeed again.
+// SetDown makes every call fail, or succeed again.
 func (d *Directory) SetDown(down bool) {
 	d.Change(func() { d.Down = down })
 }
 
-// Silence leaves the calls that wait now without a response for good, with their connections open.
+// Silence permanently withholds responses from the calls that wait now, and keeps their connections open.
 func (d *Directory) Silence() {
 	d.Lock()
 	defer d.Unlock()
@@ -291,8 +292,8 @@
 	return slices.Clone(d.Calls)
 }
 
-// Acknowledged returns when a caller first said that it has a version or a newer one, by a call for what is newer. It
-// reports false if none has.
+// Acknowledged returns when a caller first called for changes after a version, and so reported that it has it, or after
+// a newer one. It reports false if none has.
 func (d *Directory) Acknowledged(seq uint64) (time.Time, bool) {
 	d.Lock()
 	defer d.Unlock()
--- a/internal/standin/fakediscovery/fakediscovery_test.go
+++ b/internal/standin/fakediscovery/fakediscovery_test.go
@@ -13,7 +13,7 @@
 	"pinedale/internal/standin/wait"
 )
 
-// call is a call that was answered, or one that has failed.
+// call is the outcome of a call.
 type call struct {
 	status int
 	body   string
@@ -75,12 +75,12 @@
 	wait.Until(t, "the call", func() bool { return d.CallCount() == 1 })
 	d.SetHosts(1, Ready("s-1", "127.0.0.1:1"))
 	if got := (<-received).document(t); got.Seq != 1 || len(got.Hosts) != 1 {
-		t.Errorf("got %+v", got)
+		t.Errorf("list %+v, want version 1 with one host", got)
 	}
 }
 
 func TestSilencedCallIsNeverAnswered(t *testing.T) {
-	const callTimeout = time.Second // long enough for Silence to come before it on a busy machine
+	const callTimeout = time.Second // long enough that Silence is called before it on a busy machine
 	d := New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	received := make(chan call, 1)
@@ -95,7 +95,7 @@
 	case <-time.After(callTimeout + 200*time.Millisecond):
 	}
 	if n := d.OpenConns.Load(); n != 1 {
-		t.Errorf("%d connections are open, want that of the call", n)
+		t.Errorf("%d connections are open, want only that of the call", n)
 	}
 	cancel()
 	if got := <-received; got.err == nil {
@@ -108,15 +108,15 @@
 	d := New(t, Ready("s-1", "127.0.0.1:1"))
 	d.SetDown(true)
 	if got := get(t.Context(), d, ""); got.status != http.StatusServiceUnavailable {
-		t.Errorf("down: %+v", got)
+		t.Errorf("call to a service that is down: %+v, want status 503", got)
 	}
 	d.Change(func() { d.Down, d.InvalidResponse = false, "<html>" })
 	if got := get(t.Context(), d, ""); got.status != http.StatusOK || got.body != "<html>" {
-		t.Errorf("broken: %+v", got)
+		t.Errorf("call with an invalid response: %+v, want status 200 and that response", got)
 	}
 	d.Change(func() { d.InvalidResponse = "" })
 	if got := get(t.Context(), d, "").document(t); len(got.Hosts) != 1 {
-		t.Errorf("restored: %+v", got)
+		t.Errorf("list of a restored service: %+v, want one host", got)
 	}
 }
 
@@ -133,10 +133,10 @@
 	get(t.Context(), d, "after=7&wait_ms=0")
 	get(t.Context(), d, "after=5&wait_ms=0")
 	if at, ok := d.Acknowledged(4); !ok || !at.Equal(first) {
-		t.Errorf("version 4 was acknowledged at %v, %v; want the first call", at, ok)
+		t.Errorf("version 4 was acknowledged at %v, %v; want the time of the first call", at, ok)
 	}
 	if at, ok := d.Acknowledged(6); !ok || at.Before(first) {
-		t.Errorf("version 6 was acknowledged at %v, %v", at, ok)
+		t.Errorf("version 6 was acknowledged at %v, %v; want a time after the first call", at, ok)
 	}
 	if _, ok := d.Acknowledged(8); ok {
 		t.Error("version 8 is acknowledged")
