--- a/internal/standin/testengine/testengine.go
+++ b/internal/standin/testengine/testengine.go
@@ -8,7 +8,7 @@
 	"pinedale/internal/engine"
 )
 
-// Run runs an engine until the test ends, and waits for its end then.
+// Run starts an engine, which is stopped when the test ends.
 func Run(t testing.TB, o engine.Options) *engine.Engine {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/standin/testfleet/backend.go
+++ b/internal/standin/testfleet/backend.go
@@ -11,9 +11,9 @@
 	"pinedale/internal/standin/scriptedconn"
 )
 
-// What a backend may write in place of a complete response. It then closes the connection.
+// Incomplete responses for [Attempt.Respond]. The backend closes the connection after them.
 const (
-	// ResetConnection is no response but a reset of the connection.
+	// ResetConnection resets the connection without a response.
 	ResetConnection = ""
 	// TruncatedBody is a response that ends within its body.
 	TruncatedBody = "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\ndone"
@@ -24,14 +24,14 @@
 // Attempt is a request that a backend has read and not responded to yet.
 type Attempt struct {
 	RequestID string // X-Correlation-Id
-	Backend   string // its name
-	Address   string // of the backend
+	Backend   string // name of the backend
+	Address   string // host:port of the backend
 
 	conn     net.Conn
-	keepOpen chan bool // after the response
+	keepOpen chan bool // receives whether the connection stays open after the response
 }
 
-// Respond writes a response: one of scriptedconn or one that is incomplete. It is called once.
+// Respond writes a response of package scriptedconn or an incomplete one. It must be called exactly once.
 func (a *Attempt) Respond(response string) {
 	if response == ResetConnection {
 		_ = a.conn.(*net.TCPConn).SetLinger(0)
@@ -55,14 +55,14 @@
 
 // Backends are servers whose responses a test chooses.
 type Backends struct {
-	// Hosts are the backends' entries for discovery, s-0 and on.
+	// Hosts are the discovery entries of the backends, which are named s-0, s-1 and so on.
 	Hosts []fakediscovery.Host
 
 	endpoints []*scriptedconn.Endpoint
 }
 
-// StartBackends starts n backends. Each request is passed to handle before anything else is read from its connection;
-// it is answered by [Attempt.Respond], then or later.
+// StartBackends starts n backends. Each request is passed to handle; nothing else is read from its connection until
+// [Attempt.Respond] has been called, by handle or later.
 func StartBackends(t testing.TB, n int, handle func(*Attempt)) *Backends {
 	t.Helper()
 	b := &Backends{}
@@ -86,7 +86,7 @@
 	return n
 }
 
-// serveAttempts passes the requests of a connection to handle until one of them ends it.
+// serveAttempts passes the requests of a connection to handle until the connection ends or a response closes it.
 func serveAttempts(
 	name string, e *scriptedconn.Endpoint, conn net.Conn, in *bufio.Reader, handle func(*Attempt),
 ) {
--- a/internal/standin/testfleet/client.go
+++ b/internal/standin/testfleet/client.go
@@ -12,12 +12,13 @@
 	"time"
 )
 
-// Client is a client's connection, to which a test writes bytes while all responses are read.
+// Client is an HTTP/1.1 client connection. A test writes requests to it as raw bytes, and all responses are read in the
+// background.
 type Client struct {
 	net.Conn
 
 	responded chan struct{} // closed with the first response
-	closed    chan struct{} // closed once nothing more is read
+	closed    chan struct{} // closed once reading has ended
 
 	mu    sync.Mutex
 	codes []int
@@ -71,7 +72,7 @@
 // Closed returns a channel that is closed once the connection has ended.
 func (c *Client) Closed() <-chan struct{} { return c.closed }
 
-// StatusCodes returns those of the complete responses read so far.
+// StatusCodes returns the status codes of the complete responses read so far.
 func (c *Client) StatusCodes() []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +110,7 @@
 	}
 }
 
-// errNoResponse means that the connection has ended where a response might have begun.
+// errNoResponse means that the connection ended between two responses.
 var errNoResponse = errors.New("no more responses")
 
 // readResponse reads one complete response and returns its status code.
--- a/internal/standin/testfleet/process.go
+++ b/internal/standin/testfleet/process.go
@@ -9,11 +9,11 @@
 	"pinedale/internal/standin/logcapture"
 )
 
-// ProgramVariable is the environment variable that has [Main] run a program in place of the tests.
+// ProgramVariable is the environment variable that names the program that [Main] runs in place of the tests.
 const ProgramVariable = "PINEDALE_TEST_PROGRAM"
 
-// Main is what TestMain calls: it runs the tests or, in a process of [Command], the program of that name. It does
-// not return.
+// Main is to be called by TestMain. It runs the tests or, in a process started by [Command], the program of that name.
+// It does not return.
 func Main(m *testing.M, programs map[string]func()) {
 	if run, ok := programs[os.Getenv(ProgramVariable)]; ok {
 		run()
@@ -22,20 +22,20 @@
 	os.Exit(m.Run())
 }
 
-// Command returns a command that runs the test binary as the program that [Main] has under this name.
+// Command returns a command that runs the test binary as the program that is registered with [Main] under this name.
 func Command(program string, args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), ProgramVariable+"="+program)
 	return cmd
 }
 
-// pipeTimeout is how long the standard error of a process is read after its end, where a process that it started
-// itself keeps it open.
+// pipeTimeout bounds how long standard error is read after a process has exited, in case one of its child processes
+// keeps the pipe open.
 const pipeTimeout = 10 * time.Second
 
 // Process is a running program.
 type Process struct {
-	// Log has what the program has written to its standard error.
+	// Log holds what the program has written to standard error.
 	Log logcapture.Buffer
 
 	t       testing.TB
@@ -68,10 +68,10 @@
 	return p
 }
 
-// PID returns the number of the process.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal.
+// Signal sends a signal to the process, and ends the test on an error.
 func (p *Process) Signal(signal os.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(signal); err != nil {
@@ -79,14 +79,14 @@
 	}
 }
 
-// Wait waits for the process to end and returns what [exec.Cmd.Wait] did. It ends the test after timeout.
+// Wait waits for the process to exit and returns the result of [exec.Cmd.Wait]. It ends the test after timeout.
 func (p *Process) Wait(timeout time.Duration) error {
 	p.t.Helper()
 	select {
 	case <-p.exited:
 		return p.exitErr
 	case <-time.After(timeout):
-		p.t.Fatalf("the process still runs after %v", timeout)
+		p.t.Fatalf("process did not exit within %v", timeout)
 		return nil
 	}
 }
--- a/internal/standin/testfleet/request.go
+++ b/internal/standin/testfleet/request.go
@@ -14,8 +14,8 @@
 	ID             string // X-Correlation-Id
 	Class          string
 	IdempotencyKey string // empty for none
-	Path           string // under that of the class
-	Body           string // sent with POST; classes named "read" are requested with GET and have none
+	Path           string // relative to the path of the class
+	Body           string // sent with POST; requests of the class "read" are sent with GET and have no body
 	TimeLeft       time.Duration
 }
 
--- a/internal/standin/testfleet/sidecar.go
+++ b/internal/standin/testfleet/sidecar.go
@@ -12,7 +12,7 @@
 	"pinedale/internal/standin/wait"
 )
 
-// SidecarConfig is the file by which the platform configures its sidecar.
+// SidecarConfig is the configuration file that the platform gives to its sidecar.
 type SidecarConfig struct {
 	Listen    string
 	Discovery string
@@ -23,14 +23,14 @@
 	Settings  SidecarSettings
 }
 
-// Values that a [SidecarConfig] leaves out.
+// Defaults of fields of [SidecarConfig].
 const (
 	defaultSeed    = "1f"
 	defaultSockets = 1024
 )
 
-// SidecarSettings are a customer's settings. Their fields have the names of package balancer, and in the file those of
-// the platform. Times are in microseconds.
+// SidecarSettings are a customer's settings. Fields are named as in package balancer, and JSON keys as in the
+// platform's file. Times are in microseconds.
 type SidecarSettings struct {
 	Zones     []string   `json:"areas"`
 	Kinds     []string   `json:"skus"`
@@ -60,7 +60,7 @@
 	NotIdempotent     = "side_effect"
 )
 
-// Values of Class.Group, in which a request with an idempotency key is deduplicated.
+// Values of Class.Group: the servers among which requests with the same idempotency key are deduplicated.
 const (
 	GroupAll  = "all"
 	GroupCell = "cell"
@@ -87,7 +87,7 @@
 	Quota float64 `json:"allowance-per-s"`
 }
 
-// Contract is what the platform promises of endpoints.
+// Contract is what the platform guarantees about endpoints.
 type Contract struct {
 	AnswerSlack      int64   `json:"answer-slack"`
 	PollInterval     int64   `json:"ask-within"`
@@ -98,7 +98,7 @@
 	SlowStartTime    int64   `json:"ramp-time"`
 }
 
-// Limits are what the sidecar may do.
+// Limits restrict what the sidecar may do.
 type Limits struct {
 	Cancel        bool  `json:"cancel"`
 	DialTimeout   int64 `json:"dial-timeout"`
@@ -112,7 +112,7 @@
 	Hedging       bool  `json:"second-copies"`
 }
 
-// Prices are what events cost, as a ratio of the weight of a request.
+// Prices are the costs of events, relative to the weight of a request.
 type Prices struct {
 	Probe float64 `json:"probe"`
 }
@@ -123,7 +123,7 @@
 	Fields []string `json:"fields"`
 }
 
-// MinimalSettings returns settings with one class, which is idempotent, and little else.
+// MinimalSettings returns settings with one idempotent class and hardly any optional setting.
 func MinimalSettings() SidecarSettings {
 	return SidecarSettings{
 		Zones:     []string{"a"},
@@ -136,9 +136,9 @@
 	}
 }
 
-// FullSettings returns settings with a class of each kind of effect: "read" is idempotent, "pay" and "close" are with
-// an idempotency key, in the whole fleet and in a cell, and "order" is not idempotent. A request may take up to
-// clientTimeout, and its key is remembered for dedupWindow.
+// FullSettings returns settings with a class of each kind of effect: "read" is idempotent, "pay" and "close" use an
+// idempotency key, which is deduplicated in the whole fleet and in a cell respectively, and "order" is not idempotent.
+// A request may take up to clientTimeout, and its key is deduplicated for dedupWindow.
 func FullSettings(clientTimeout, dedupWindow time.Duration) SidecarSettings {
 	class := func(name, idempotency, group string) Class {
 		c := Class{
@@ -193,7 +193,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// sidecarFile is the file's outer form.
+// sidecarFile is the JSON form of a [SidecarConfig].
 type sidecarFile struct {
 	Name      string                 `json:"name"`
 	Listen    string                 `json:"listen"`
@@ -204,7 +204,7 @@
 	Settings  SidecarSettings        `json:"settings"`
 }
 
-// JSON returns the text of the file.
+// JSON returns the content of the file, and ends the test on an error.
 func (c SidecarConfig) JSON(t testing.TB) string {
 	t.Helper()
 	text, err := c.Marshal()
@@ -214,7 +214,7 @@
 	return string(text)
 }
 
-// Marshal returns the text of the file.
+// Marshal returns the content of the file.
 func (c SidecarConfig) Marshal() ([]byte, error) {
 	file := sidecarFile{
 		Name:      "n0",
@@ -231,7 +231,7 @@
 	return json.Marshal(file)
 }
 
-// JSON returns the settings as the file has them.
+// JSON returns the settings as they appear in the file, and ends the test on an error.
 func (s SidecarSettings) JSON(t testing.TB) string {
 	t.Helper()
 	text, err := json.Marshal(s)
@@ -241,7 +241,7 @@
 	return string(text)
 }
 
-// WriteFile writes a configuration, or what a test puts in its place.
+// WriteFile writes a configuration file, whose content may be invalid.
 func WriteFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -250,7 +250,7 @@
 }
 
 // Readiness returns the status code with which a sidecar responds to a readiness check, 0 if it does not respond.
-// Each check has a connection of its own.
+// Each check uses a new connection.
 func Readiness(address string) int {
 	client := http.Client{
 		Transport: &http.Transport{DisableKeepAlives: true},
--- a/internal/standin/testfleet/testfleet_test.go
+++ b/internal/standin/testfleet/testfleet_test.go
@@ -25,7 +25,7 @@
 	"pinedale/internal/standin/wait"
 )
 
-// waiterName is a program that prints its arguments, and ends with exitTerminated on SIGTERM.
+// waiterName names a program that prints its arguments, and exits with exitTerminated on SIGTERM.
 const (
 	waiterName     = "waiter"
 	exitTerminated = 3
@@ -47,15 +47,15 @@
 	process := testfleet.StartProcess(t, testfleet.Command(waiterName, "a", "b"))
 	wait.Until(t, "the log", func() bool { return process.Log.Count("ready [a b]") == 1 })
 	if _, err := os.Stat(fmt.Sprintf("/proc/%d", process.PID())); err != nil {
-		t.Errorf("the process is not running: %v", err)
+		t.Errorf("process is not running: %v", err)
 	}
 	process.Signal(syscall.SIGTERM)
 	if err := process.Wait(wait.Timeout); err == nil || process.ExitCode() != exitTerminated {
-		t.Errorf("the process ended with %v, exit code %d, want %d", err, process.ExitCode(), exitTerminated)
+		t.Errorf("process ended with %v, exit code %d, want %d", err, process.ExitCode(), exitTerminated)
 	}
 }
 
-// The sidecar accepts the files, and reads what the typed settings say.
+// The sidecar accepts the generated files, and loads the values of the typed settings.
 func TestSidecarLoadsConfig(t *testing.T) {
 	hosts := []fakediscovery.Host{fakediscovery.Ready("s-1", "127.0.0.1:1")}
 	load := func(settings testfleet.SidecarSettings) *sidecar.Config {
@@ -77,10 +77,10 @@
 
 	minimal := load(testfleet.MinimalSettings())
 	if minimal.Listen != "127.0.0.1:2" || minimal.Discovery != "127.0.0.1:3" || minimal.Limits.Sockets != 256 {
-		t.Errorf("config %+v", minimal)
+		t.Errorf("config %+v, want the addresses and sockets of the file", minimal)
 	}
 	if len(minimal.Settings.Classes) != 1 || !minimal.Settings.PollDiscovery {
-		t.Errorf("settings %+v", minimal.Settings)
+		t.Errorf("settings %+v, want one class and discovery by polling", minimal.Settings)
 	}
 
 	settings := testfleet.FullSettings(3*time.Second, 5*time.Second)
@@ -88,10 +88,10 @@
 	settings.Tenants = []testfleet.Tenant{{Name: "acme", Share: 1, Quota: 10}}
 	full := load(settings).Settings
 	if full.PollDiscovery || !full.Limits.Cancel || full.Limits.MaxAttempts != 3 || full.Contract.SlowStartRatio != 0.3 {
-		t.Errorf("settings %+v", full)
+		t.Errorf("settings %+v, want the limits and contract of FullSettings, and no polling", full)
 	}
 	if len(full.Tenants) != 1 || full.Tenants[0].Quota != 10 {
-		t.Errorf("tenants %+v", full.Tenants)
+		t.Errorf("tenants %+v, want one with a quota of 10", full.Tenants)
 	}
 	var idempotencies []balancer.Idempotency
 	for _, class := range full.Classes {
@@ -115,10 +115,10 @@
 	const address = "127.0.0.1:1"
 	read := testfleet.Request{ID: "1", Class: "read", Path: "x", Body: "body", TimeLeft: time.Second}.HTTP(t, address)
 	if read.Method != http.MethodGet || read.ContentLength != 0 || read.URL.String() != "http://127.0.0.1:1/read/x" {
-		t.Errorf("%s %s with %d bytes", read.Method, read.URL, read.ContentLength)
+		t.Errorf("request %s %s with a body of %d bytes, want a GET with no body", read.Method, read.URL, read.ContentLength)
 	}
 	if key, ok := read.Header["Idempotency-Key"]; ok {
-		t.Errorf("idempotency key %q", key)
+		t.Errorf("idempotency key %q, want none", key)
 	}
 	text := testfleet.Request{
 		ID:             "2",
@@ -136,7 +136,7 @@
 		"\r\n\r\nbody",
 	} {
 		if !strings.Contains(text, part) {
-			t.Errorf("%q is not in %q", part, text)
+			t.Errorf("%q is missing from request %q", part, text)
 		}
 	}
 	if first, second := testfleet.NewRequestID(), testfleet.NewRequestID(); first == second {
@@ -165,7 +165,7 @@
 				t.Errorf("status codes %v, want %v", codes, test.wantCodes)
 			}
 			if err := client.Err(); (err != nil) != test.wantErr {
-				t.Errorf("error %v", err)
+				t.Errorf("client error %v, want an error: %v", err, test.wantErr)
 			}
 			select {
 			case <-client.Responded():
@@ -181,7 +181,7 @@
 	}
 }
 
-// An attempt is answered as the test says, and its connection is used again after a complete response only.
+// An attempt gets the response that the test chooses, and its connection is reused only after a complete response.
 func TestAttemptIsAnsweredByTest(t *testing.T) {
 	for name, test := range map[string]struct {
 		response string
@@ -202,7 +202,7 @@
 			client.MustWrite(t, request.Text(t, host.Address))
 			attempt := <-attempts
 			if attempt.RequestID != "7" || attempt.Backend != host.Name || attempt.Address != host.Address {
-				t.Errorf("attempt %+v", attempt)
+				t.Errorf("attempt %+v, want request 7 at the second backend", attempt)
 			}
 			if n := backends.OpenConnCount(); n != 1 {
 				t.Errorf("%d connections are open, want 1", n)
@@ -218,7 +218,7 @@
 			<-client.Closed()
 			wait.Until(t, "the end of the connection", func() bool { return backends.OpenConnCount() == 0 })
 			if err := client.Err(); !test.wantOpen && (err != nil) != test.wantErr {
-				t.Errorf("error %v", err)
+				t.Errorf("client error %v, want an error: %v", err, test.wantErr)
 			}
 		})
 	}
@@ -226,12 +226,12 @@
 
 func TestReadinessIsStatusOfResponse(t *testing.T) {
 	if code := testfleet.Readiness(ports.MustFree(t)); code != 0 {
-		t.Errorf("without a sidecar: %d", code)
+		t.Errorf("readiness %d without a sidecar, want 0", code)
 	}
 	code := http.StatusServiceUnavailable
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/health/ready" {
-			t.Errorf("request for %s", r.URL.Path)
+			t.Errorf("request for %s, want /health/ready", r.URL.Path)
 		}
 		w.WriteHeader(code)
 	}))
@@ -242,6 +242,6 @@
 	}
 	code = http.StatusOK
 	if !testfleet.IsReady(address) {
-		t.Error("not ready")
+		t.Error("a sidecar that responds with status 200 is not ready")
 	}
 }
