--- a/internal/standin/logcapture/logcapture.go
+++ b/internal/standin/logcapture/logcapture.go
@@ -1,4 +1,4 @@
-// Package logcapture provides a log for tests that may be read while it is written.
+// Package logcapture captures a log that a test reads while it is written.
 package logcapture
 
 import (
--- a/internal/standin/logcapture/logcapture_test.go
+++ b/internal/standin/logcapture/logcapture_test.go
@@ -15,10 +15,10 @@
 	}
 	match := buffer.Find(`http=(\S+) ext_proc=(\S+)`)
 	if len(match) != 3 || match[1] != "127.0.0.1:1" || match[2] != "127.0.0.1:2" {
-		t.Errorf("match %q", match)
+		t.Errorf("match %q, want both addresses", match)
 	}
 	if match := buffer.Find("ended"); match != nil {
-		t.Errorf("match %q of what was not logged", match)
+		t.Errorf("match %q of text that was not logged", match)
 	}
 }
 
--- a/internal/standin/ports/ports.go
+++ b/internal/standin/ports/ports.go
@@ -40,7 +40,7 @@
 			return address, nil
 		}
 	}
-	return "", errors.New("no port is free")
+	return "", errors.New("no free port on 127.0.0.1")
 }
 
 // MustFree is like [Free] but ends the test if there is no free address.
--- a/internal/standin/ports/ports_test.go
+++ b/internal/standin/ports/ports_test.go
@@ -18,12 +18,12 @@
 		seen[address] = true
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
-			t.Errorf("TCP: %v", err)
+			t.Errorf("listen with TCP: %v", err)
 			continue
 		}
 		packetConn, err := net.ListenPacket("udp", address)
 		if err != nil {
-			t.Errorf("UDP: %v", err)
+			t.Errorf("listen with UDP: %v", err)
 		} else {
 			packetConn.Close()
 		}
@@ -38,7 +38,7 @@
 	}
 	defer listener.Close()
 	if isFree(listener.Addr().String()) {
-		t.Error("an address with a TCP listener is free")
+		t.Error("an address with a TCP listener is reported as free")
 	}
 	packetConn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -46,6 +46,6 @@
 	}
 	defer packetConn.Close()
 	if isFree(packetConn.LocalAddr().String()) {
-		t.Error("an address with a UDP socket is free")
+		t.Error("an address with a UDP socket is reported as free")
 	}
 }
--- a/internal/standin/seeds/seeds.go
+++ b/internal/standin/seeds/seeds.go
@@ -1,8 +1,8 @@
-// Package seeds lets property tests draw the same cases in every run, so that a change is judged by what it changes.
-// A test file that uses rapid imports it for its side effect, once in each package. A TestMain would have to be
-// repeated in each package, and some have one for another purpose.
+// Package seeds makes property tests generate the same cases in every run, so that a test result changes only when the
+// code does. A test file that uses rapid imports it for its side effect, once in each package. A TestMain would have to
+// be repeated in each package, and some packages have one for another purpose.
 //
-// The flag -rapid.seed still selects other cases, which "pinedale-bench properties" does at length.
+// The flag -rapid.seed still selects other cases; "pinedale-bench properties" runs the tests with many seeds.
 package seeds
 
 import (
@@ -13,7 +13,7 @@
 	_ "pgregory.net/rapid" // defines the flags
 )
 
-// defaults are the values of rapid's flags. The seed may be any number but 0, which stands for a random one.
+// defaults are the values of rapid's flags. The seed may be any number but 0, which selects a random seed.
 var defaults = map[string]string{
 	"rapid.seed":       "1",
 	"rapid.nofailfile": "true",
@@ -31,8 +31,8 @@
 	removeFailFiles()
 }
 
-// removeFailFiles removes recorded failures: rapid repeats them first, whatever its flags say, and those of another
-// version of the code must not decide about this one.
+// removeFailFiles removes recorded failures. Rapid repeats them first, regardless of its flags, and failures recorded
+// with another version of the code must not affect the result for this one.
 func removeFailFiles() {
 	paths, err := filepath.Glob(failFiles)
 	if err != nil {
--- a/internal/standin/wait/wait.go
+++ b/internal/standin/wait/wait.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Timeout is how long a test waits for what must happen, far longer than anything takes on a busy machine.
+// Timeout is how long a test waits for a condition, far longer than any takes to become true on a busy machine.
 const Timeout = 20 * time.Second
 
 // pollInterval is how often a condition is checked.
 const pollInterval = 2 * time.Millisecond
 
-// Until waits until condition is true. It ends the test after [Timeout], with what as the name of the condition and
-// the text of each of details.
+// Until waits until condition is true. After [Timeout] it logs the text of each of details and ends the test with a
+// message that contains what, a description of the condition.
 func Until(t testing.TB, what string, condition func() bool, details ...func() string) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !condition(); time.Sleep(pollInterval) {
@@ -23,6 +23,6 @@
 		for _, detail := range details {
 			t.Log(detail())
 		}
-		t.Fatalf("waited %v in vain for: %s", Timeout, what)
+		t.Fatalf("timed out after %v waiting for: %s", Timeout, what)
 	}
 }
