--- a/internal/standin/ca/ca.go
+++ b/internal/standin/ca/ca.go
@@ -26,17 +26,17 @@
 	pemRevocationList = "X509 CRL"
 )
 
-// Epoch is when the validity of authorities begins. It lasts for ten years.
+// Epoch is when certificates of authorities become valid. They are valid for ten years.
 var Epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TB is the part of testing.TB that reports errors. [PanicOnFatal] is one without a test.
+// TB is the part of testing.TB that reports errors. [PanicOnFatal] implements it for use outside of tests.
 type TB interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// PanicOnFatal is a [TB] that panics with an error, for measurements: a certificate that cannot be made is a fault of
-// the program.
+// PanicOnFatal is a [TB] that panics with an error. Measurements use it: a certificate that cannot be created is a
+// fault of the program.
 type PanicOnFatal struct{}
 
 // Helper does nothing.
@@ -86,7 +86,7 @@
 	return a
 }
 
-// newKey returns a private key of P-256.
+// newKey returns a new private key for P-256.
 func newKey(t TB) crypto.Signer {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -96,7 +96,7 @@
 	return key
 }
 
-// lastSerialNumber is that of the certificate or revocation list made last.
+// lastSerialNumber is the serial number of the most recent certificate or revocation list.
 var lastSerialNumber atomic.Int64
 
 func nextSerialNumber() *big.Int { return big.NewInt(lastSerialNumber.Add(1)) }
@@ -132,13 +132,13 @@
 	Signer crypto.Signer
 }
 
-// Spec describes a certificate. The zero value is one that a server and a client may present.
+// Spec describes a certificate. The zero value describes one that both servers and clients may present.
 type Spec struct {
 	Names            []string           // DNS names, IP addresses and URIs
 	NotBefore        time.Time          // Epoch if zero
 	NotAfter         time.Time          // a day after NotBefore if zero
-	ExtKeyUsages     []x509.ExtKeyUsage // of servers and of clients if nil
-	Key              crypto.Signer      // a new one of P-256 if nil
+	ExtKeyUsages     []x509.ExtKeyUsage // server and client authentication if nil
+	Key              crypto.Signer      // a new one for P-256 if nil
 	OmitIntermediate bool               // leaves the chain incomplete
 }
 
@@ -206,7 +206,7 @@
 	}
 }
 
-// IssueFor returns a new certificate with its key that has been valid for an hour, and remains so for a while.
+// IssueFor returns a new certificate with its key. It became valid an hour ago and expires after the remaining time.
 func (a *Authority) IssueFor(remaining time.Duration, names ...string) *Pair {
 	a.t.Helper()
 	now := time.Now()
--- a/internal/standin/ca/ca_test.go
+++ b/internal/standin/ca/ca_test.go
@@ -55,7 +55,7 @@
 		t.Run(name, func(t *testing.T) {
 			pair := test.issuer.Issue(test.spec)
 			if err := verify(pair, root, test.dnsName, test.now); (err == nil) != test.want {
-				t.Errorf("verification: %v, want valid %v", err, test.want)
+				t.Errorf("verification error %v, want a valid certificate: %v", err, test.want)
 			}
 			if _, err := tls.X509KeyPair(pair.Cert, pair.Key); err != nil {
 				t.Errorf("the key does not belong to the certificate: %v", err)
@@ -67,7 +67,7 @@
 func TestNamesOfURIsAreURIs(t *testing.T) {
 	leaf := New(t, "root").Issue(Spec{Names: []string{"spiffe://soko/s-1"}}).Leaf
 	if len(leaf.URIs) != 1 || leaf.URIs[0].String() != "spiffe://soko/s-1" || len(leaf.DNSNames) != 0 {
-		t.Errorf("URIs %v, DNS names %v", leaf.URIs, leaf.DNSNames)
+		t.Errorf("URIs %v, DNS names %v; want one URI and no DNS name", leaf.URIs, leaf.DNSNames)
 	}
 }
 
@@ -76,7 +76,7 @@
 	revoked, valid := root.Issue(Spec{}).Leaf, root.Issue(Spec{}).Leaf
 	block, rest := pem.Decode(root.RevocationList(revoked))
 	if block == nil || len(rest) > 0 {
-		t.Fatalf("block %v, %d more bytes", block, len(rest))
+		t.Fatalf("PEM block %v, followed by %d bytes; want one block", block, len(rest))
 	}
 	list, err := x509.ParseRevocationList(block.Bytes)
 	if err != nil {
@@ -87,10 +87,10 @@
 	}
 	entries := list.RevokedCertificateEntries
 	if len(entries) != 1 || entries[0].SerialNumber.Cmp(revoked.SerialNumber) != 0 {
-		t.Errorf("entries %v", entries)
+		t.Errorf("list entries %v, want that of the revoked certificate", entries)
 	}
 	if revoked.SerialNumber.Cmp(valid.SerialNumber) == 0 {
-		t.Error("two certificates have one serial number")
+		t.Error("two certificates have the same serial number")
 	}
 }
 
@@ -101,7 +101,7 @@
 	folder.WritePair(first)
 	folder.WritePair(second)
 	if _, err := tls.LoadX509KeyPair(folder.Cert, folder.Key); err != nil {
-		t.Errorf("the pair: %v", err)
+		t.Errorf("loading the second pair: %v", err)
 	}
 	if text, err := os.ReadFile(folder.Cert); err != nil || string(text) != string(second.Cert) {
 		t.Errorf("the certificate is not the second one: %v", err)
@@ -109,18 +109,18 @@
 	folder.WriteFile(folder.Roots, root.PEM(), root.PEM())
 	text, err := os.ReadFile(folder.Roots)
 	if err != nil || strings.Count(string(text), "BEGIN CERTIFICATE") != 2 {
-		t.Errorf("roots %q, %v", text, err)
+		t.Errorf("file of roots %q, %v; want two certificates", text, err)
 	}
 	temporary, err := filepath.Glob(filepath.Join(filepath.Dir(folder.Cert), "*.new"))
 	if err != nil || len(temporary) > 0 {
-		t.Errorf("temporary files %q, %v", temporary, err)
+		t.Errorf("temporary files %q, %v; want none", temporary, err)
 	}
 }
 
 func TestPanicOnFatalPanicsWithError(t *testing.T) {
 	defer func() {
 		if err, ok := recover().(error); !ok || err.Error() != "no key" {
-			t.Errorf("recovered %v", err)
+			t.Errorf("recovered %v, want an error with the text of Fatal", err)
 		}
 	}()
 	PanicOnFatal{}.Fatal("no key")
--- a/internal/standin/ca/folder.go
+++ b/internal/standin/ca/folder.go
@@ -21,7 +21,7 @@
 	return FolderAt(t, t.TempDir())
 }
 
-// FolderAt returns a folder that exists.
+// FolderAt returns the folder at dir, which must exist.
 func FolderAt(t TB, dir string) *Folder {
 	return &Folder{
 		Cert:    filepath.Join(dir, "cert.pem"),
@@ -32,7 +32,7 @@
 	}
 }
 
-// WriteFile replaces a file by the parts, one after the other. A reader finds the old file or the new one.
+// WriteFile atomically replaces a file by the concatenated parts: a reader finds either the old file or the new one.
 func (f *Folder) WriteFile(path string, parts ...[]byte) {
 	f.t.Helper()
 	temporary := path + ".new"
--- a/internal/standin/cert/cert.go
+++ b/internal/standin/cert/cert.go
@@ -24,10 +24,10 @@
 	"pinedale/internal/engine"
 )
 
-// loopback is the address that certificates are for.
+// loopback is the address that certificates are issued for.
 const loopback = "127.0.0.1"
 
-// clockSkew is how long before now certificates become valid, and lifetime how long they stay so.
+// Certificates are valid from clockSkew before their creation until lifetime after it.
 const (
 	clockSkew = time.Minute
 	lifetime  = time.Hour
@@ -36,8 +36,8 @@
 // sessionCacheSize is the number of sessions that a client may resume.
 const sessionCacheSize = 8
 
-// Pair is a certificate with its key. It implements the Securer interface of package http3upstream: every handshake may
-// begin at once, and servers are verified by the client's configuration.
+// Pair is a certificate with its key. It implements the Securer interface of package http3upstream: handshakes are
+// never delayed, and servers are verified by the client's configuration.
 type Pair struct {
 	Cert, Key []byte      // PEM
 	Server    *tls.Config // presents the certificate
@@ -119,7 +119,7 @@
 	return store
 }
 
-// AwaitTurn lets a handshake begin at once.
+// AwaitTurn allows a handshake to begin at once.
 func (p *Pair) AwaitTurn(context.Context, *engine.Target) error { return nil }
 
 // QUIC returns the client's configuration. The connection may always carry new requests.
--- a/internal/standin/tlsbackend/credentials.go
+++ b/internal/standin/tlsbackend/credentials.go
@@ -14,10 +14,10 @@
 const ticketKeyBytes = 32
 
 // Credentials are what servers present to clients and require of them. They may be changed at any time; a handshake
-// uses those that hold when it begins.
+// uses those in effect when it begins.
 type Credentials struct {
 	t      ca.TB
-	config atomic.Pointer[tls.Config] // of all protocols
+	config atomic.Pointer[tls.Config] // shared by all protocols
 
 	mu             sync.Mutex // guards the fields that config is made from
 	certificate    tls.Certificate
@@ -50,7 +50,7 @@
 	}
 }
 
-// SetCertificate has servers present another certificate.
+// SetCertificate changes the certificate that servers present.
 func (c *Credentials) SetCertificate(pair *ca.Pair) {
 	c.t.Helper()
 	certificate, err := tls.X509KeyPair(pair.Cert, pair.Key)
@@ -60,8 +60,8 @@
 	c.update(func() { c.certificate = certificate })
 }
 
-// SetClientCAs has servers require a client certificate that one of the authorities has signed, or none if there are no
-// authorities.
+// SetClientCAs makes servers require a client certificate signed by one of the authorities, or none if no authority is
+// given.
 func (c *Credentials) SetClientCAs(authorities ...*ca.Authority) {
 	var pool *x509.CertPool
 	if len(authorities) > 0 {
@@ -73,12 +73,12 @@
 	c.update(func() { c.clientCAs = pool })
 }
 
-// SetSessionTickets has servers issue and accept session tickets, or not.
+// SetSessionTickets sets whether servers issue and accept session tickets.
 func (c *Credentials) SetSessionTickets(enabled bool) {
 	c.update(func() { c.sessionTickets = enabled })
 }
 
-// RotateTicketKey invalidates all session tickets, as a restart does.
+// RotateTicketKey invalidates all session tickets, as a restart of the server does.
 func (c *Credentials) RotateTicketKey() {
 	c.update(func() { rand.Read(c.ticketKey[:]) })
 }
@@ -93,7 +93,7 @@
 	return int(c.fullHandshakes.Load()), int(c.resumedHandshakes.Load())
 }
 
-// update changes fields and makes the configuration from them.
+// update calls change under the lock and rebuilds the configuration from the fields.
 func (c *Credentials) update(change func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +112,7 @@
 	c.config.Store(config)
 }
 
-// countHandshake counts a handshake. It is tls.Config.VerifyConnection and accepts the connection.
+// countHandshake counts a handshake. It serves as tls.Config.VerifyConnection and accepts every connection.
 func (c *Credentials) countHandshake(state tls.ConnectionState) error {
 	if state.DidResume {
 		c.resumedHandshakes.Add(1)
--- a/internal/standin/tlsbackend/faulty.go
+++ b/internal/standin/tlsbackend/faulty.go
@@ -7,27 +7,25 @@
 	"testing"
 )
 
-// HandshakeFault is what a listener does with a connection in place of a handshake. The connection is closed once it
-// returns.
+// HandshakeFault handles a connection in place of a TLS handshake. The connection is closed once it returns.
 type HandshakeFault func(net.Conn)
 
-// How many bytes the faults read or write.
+// Numbers of bytes that the faults read or write.
 const (
 	truncatedBytes = 16
 	garbageBytes   = 4096
 )
 
-// The faults.
 var (
-	// Unresponsive reads and writes nothing.
+	// Unresponsive discards all input and writes nothing.
 	Unresponsive HandshakeFault = discardAll
 
-	// Disconnect ends the connection within the client's first message.
+	// Disconnect closes the connection after a part of the client's first message.
 	Disconnect HandshakeFault = func(conn net.Conn) {
 		_, _ = conn.Read(make([]byte, truncatedBytes))
 	}
 
-	// Garbage writes bytes that are no TLS record.
+	// Garbage writes bytes that are not a TLS record.
 	Garbage HandshakeFault = func(conn net.Conn) {
 		_, _ = conn.Write(make([]byte, garbageBytes))
 		discardAll(conn)
@@ -43,17 +41,17 @@
 // discardAll reads until the connection ends.
 func discardAll(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }
 
-// faultyListener accepts connections and has a fault serve them.
+// faultyListener passes each accepted connection to a fault.
 type faultyListener struct {
 	net.Listener
 	fault     HandshakeFault
 	accepting sync.WaitGroup
 	serving   sync.WaitGroup
-	conns     []net.Conn // of the accepting goroutine, until that has ended
+	conns     []net.Conn // owned by the accepting goroutine until it has ended
 }
 
-// ListenFaulty returns the address of a TCP listener with a fault. It is closed, with its connections, when the test
-// ends.
+// ListenFaulty starts a TCP listener with a fault and returns its address. The listener and its connections are closed
+// when the test ends.
 func ListenFaulty(t testing.TB, fault HandshakeFault) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/standin/tlsbackend/tlsbackend_test.go
+++ b/internal/standin/tlsbackend/tlsbackend_test.go
@@ -16,8 +16,8 @@
 // testTimeout is how long a test waits for a response.
 const testTimeout = 20 * time.Second
 
-// client trusts an authority, and presents a certificate if there is one.
-func client(root *ca.Authority, certificates ...tls.Certificate) *tls.Config {
+// clientConfig returns a configuration that trusts an authority, and presents the given certificates.
+func clientConfig(root *ca.Authority, certificates ...tls.Certificate) *tls.Config {
 	roots := x509.NewCertPool()
 	roots.AddCert(root.Cert)
 	return &tls.Config{
@@ -53,7 +53,7 @@
 func TestSessionsAreResumedUntilTicketKeyRotates(t *testing.T) {
 	root := ca.New(t, "root")
 	s := Start(t, newPair(t, root))
-	config := client(root)
+	config := clientConfig(root)
 	expect := func(what string, wantFull, wantResumed int) {
 		t.Helper()
 		body, state, err := get(t, s.Address, config)
@@ -65,7 +65,7 @@
 			t.Errorf("%s: %d full and %d resumed handshakes, want %d and %d", what, full, resumed, wantFull, wantResumed)
 		}
 		if state.Version != tls.VersionTLS13 {
-			t.Errorf("%s: TLS version %x", what, state.Version)
+			t.Errorf("%s: TLS version %x, want TLS 1.3", what, state.Version)
 		}
 	}
 	expect("first", 1, 0)
@@ -83,11 +83,11 @@
 	oldRoot, newRoot := ca.New(t, "old"), ca.New(t, "new")
 	s := Start(t, newPair(t, oldRoot))
 	s.SetCertificate(newPair(t, newRoot))
-	if _, _, err := get(t, s.Address, client(oldRoot)); err == nil {
+	if _, _, err := get(t, s.Address, clientConfig(oldRoot)); err == nil {
 		t.Error("the old certificate is still presented")
 	}
-	if _, _, err := get(t, s.Address, client(newRoot)); err != nil {
-		t.Errorf("the new certificate: %v", err)
+	if _, _, err := get(t, s.Address, clientConfig(newRoot)); err != nil {
+		t.Errorf("request with trust in the new certificate: %v", err)
 	}
 }
 
@@ -105,18 +105,18 @@
 		return certificate
 	}
 	s.SetClientCAs(root)
-	if _, _, err := get(t, s.Address, client(root)); err == nil {
+	if _, _, err := get(t, s.Address, clientConfig(root)); err == nil {
 		t.Error("a client without a certificate is accepted")
 	}
-	if _, _, err := get(t, s.Address, client(root, certificate(other))); err == nil {
-		t.Error("a client of another authority is accepted")
+	if _, _, err := get(t, s.Address, clientConfig(root, certificate(other))); err == nil {
+		t.Error("a client with a certificate of another authority is accepted")
 	}
-	if _, _, err := get(t, s.Address, client(root, certificate(root))); err != nil {
-		t.Errorf("a client of the authority: %v", err)
+	if _, _, err := get(t, s.Address, clientConfig(root, certificate(root))); err != nil {
+		t.Errorf("a client with a certificate of the authority: %v", err)
 	}
 	s.SetClientCAs()
-	if _, _, err := get(t, s.Address, client(root)); err != nil {
-		t.Errorf("a client without a certificate, which is not required: %v", err)
+	if _, _, err := get(t, s.Address, clientConfig(root)); err != nil {
+		t.Errorf("a client without a certificate, when none is required: %v", err)
 	}
 }
 
@@ -124,7 +124,7 @@
 	root := ca.New(t, "root")
 	s := Start(t, newPair(t, root))
 	s.SetMaxVersion(tls.VersionTLS12)
-	_, state, err := get(t, s.Address, client(root))
+	_, state, err := get(t, s.Address, clientConfig(root))
 	if err != nil || state.Version != tls.VersionTLS12 {
 		t.Errorf("state %+v, %v; want TLS 1.2", state, err)
 	}
@@ -155,11 +155,11 @@
 			if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 				t.Fatal(err)
 			}
-			err = tls.Client(conn, client(root)).Handshake()
+			err = tls.Client(conn, clientConfig(root)).Handshake()
 			var netErr net.Error
 			timedOut := errors.As(err, &netErr) && netErr.Timeout()
 			if err == nil || timedOut != test.wantTimeout {
-				t.Errorf("handshake: %v, want a timeout %v", err, test.wantTimeout)
+				t.Errorf("handshake error %v, want a timeout: %v", err, test.wantTimeout)
 			}
 		})
 	}
