--- a/internal/standin/proxy/forward.go
+++ b/internal/standin/proxy/forward.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// dialTimeout is that of a connection to an endpoint.
+// dialTimeout bounds how long a connection to an endpoint may take to open.
 const dialTimeout = time.Second
 
-// Details that Envoy gives of a response.
+// Response code details as Envoy reports them.
 const (
-	detailsForwarded = "via_upstream"
-	detailsTimeout   = "response_timeout"
-	detailsReset     = "upstream_reset_before_response_started{connection_termination}"
-	detailsNotDialed = "upstream_reset_before_response_started" +
+	detailsForwarded     = "via_upstream"
+	detailsTimeout       = "response_timeout"
+	detailsReset         = "upstream_reset_before_response_started{connection_termination}"
+	detailsConnectFailed = "upstream_reset_before_response_started" +
 		"{remote_connection_failure|delayed_connect_error:_Connection_refused}"
 )
 
@@ -29,7 +29,7 @@
 	reader *bufio.Reader
 }
 
-// upstreamResponse is an endpoint's response, or the one that Envoy gives in its place.
+// upstreamResponse is an endpoint's response, or the local reply that Envoy sends in its place.
 type upstreamResponse struct {
 	code    int
 	header  http.Header
@@ -37,14 +37,14 @@
 	close   bool // the endpoint closes the connection
 }
 
-// forward sends a request to the endpoint of a decision once. If there is no response, it returns the one that Envoy
-// gives.
+// forward sends a request once to the endpoint of a decision. If the endpoint does not respond, it returns the local
+// reply that Envoy sends.
 func (p *Proxy) forward(decision Decision, request Request, timeout time.Duration) upstreamResponse {
 	conn, err := p.connect(decision.Endpoint)
 	if err != nil {
-		return upstreamResponse{code: http.StatusServiceUnavailable, details: detailsNotDialed}
+		return upstreamResponse{code: http.StatusServiceUnavailable, details: detailsConnectFailed}
 	}
-	_ = conn.SetDeadline(time.Now().Add(timeout)) // a closed connection fails in the write
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // on a closed connection, the write fails
 	response, err := conn.exchange(decision, request)
 	if err == nil {
 		p.release(decision.Endpoint, conn, response.close)
@@ -58,7 +58,7 @@
 	return upstreamResponse{code: http.StatusServiceUnavailable, details: detailsReset}
 }
 
-// exchange writes a request and reads its complete response. The time left is that of the decision.
+// exchange writes a request and reads its complete response. The time left that it sends is that of the decision.
 func (e *endpoint) exchange(decision Decision, request Request) (*upstreamResponse, error) {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\n", request.Method, request.Path)
@@ -115,7 +115,7 @@
 	return idle[last]
 }
 
-// release makes a connection idle, or closes it if the endpoint does or the proxy is closed.
+// release makes a connection idle, or closes it if the endpoint closes it or the proxy is closed.
 func (p *Proxy) release(address string, conn *endpoint, closing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/proxy/messages.go
+++ b/internal/standin/proxy/messages.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// Names of headers, in lower case as Envoy has them.
+// Names of headers, in lower case as Envoy sends them.
 const (
 	headerMethod        = ":method"
 	headerPath          = ":path"
@@ -43,13 +43,13 @@
 	Metadata string // the endpoint in the dynamic metadata
 	Headers  map[string]string
 
-	// Of an immediate response.
+	// Set for an immediate response only.
 	Code       int
 	RetryAfter string
 	Body       string
 }
 
-// RequestHeaders returns the message that requests a decision. An attempt of 0 is not stated.
+// RequestHeaders returns the message that requests a decision. It omits an attempt number of 0.
 func RequestHeaders(request Request, attempt int) *extprocv3.ProcessingRequest {
 	headers := []*corev3.HeaderValue{
 		newHeader(headerMethod, request.Method),
@@ -74,8 +74,8 @@
 	}
 }
 
-// ResponseHeaders returns the message that reports a response. Details are those that Envoy gives of a response of its
-// own, and served is the endpoint that has responded; either may be empty.
+// ResponseHeaders returns the message that reports a response. Details are Envoy's response code details, and served is
+// the endpoint that has responded; either may be empty.
 func ResponseHeaders(code int, header http.Header, details, served string) *extprocv3.ProcessingRequest {
 	headers := []*corev3.HeaderValue{newHeader(headerStatus, strconv.Itoa(code))}
 	for _, name := range reportedHeaders {
@@ -119,7 +119,7 @@
 func ParseDecision(message *extprocv3.ProcessingResponse) (Decision, error) {
 	switch response := message.Response.(type) {
 	case *extprocv3.ProcessingResponse_RequestHeaders:
-		headers := setHeaders(response.RequestHeaders.GetResponse().GetHeaderMutation())
+		headers := mutationHeaders(response.RequestHeaders.GetResponse().GetHeaderMutation())
 		metadata := message.DynamicMetadata.GetFields()[metadataNamespace].GetStructValue()
 		decision := Decision{
 			Endpoint: headers[headerEndpoint],
@@ -127,11 +127,11 @@
 			Headers:  headers,
 		}
 		if decision.Endpoint == "" {
-			return decision, errors.New("a decision without an endpoint")
+			return decision, errors.New("decision names no endpoint")
 		}
 		return decision, nil
 	case *extprocv3.ProcessingResponse_ImmediateResponse:
-		headers := setHeaders(response.ImmediateResponse.GetHeaders())
+		headers := mutationHeaders(response.ImmediateResponse.GetHeaders())
 		return Decision{
 			Headers:    headers,
 			Code:       int(response.ImmediateResponse.GetStatus().GetCode()),
@@ -139,12 +139,12 @@
 			Body:       string(response.ImmediateResponse.GetBody()),
 		}, nil
 	default:
-		return Decision{}, fmt.Errorf("%T in response to request headers", response)
+		return Decision{}, fmt.Errorf("unexpected %T in response to request headers", response)
 	}
 }
 
-// setHeaders returns the headers that a mutation sets.
-func setHeaders(mutation *extprocv3.HeaderMutation) map[string]string {
+// mutationHeaders returns the headers that a mutation sets.
+func mutationHeaders(mutation *extprocv3.HeaderMutation) map[string]string {
 	headers := map[string]string{}
 	for _, option := range mutation.GetSetHeaders() {
 		headers[option.GetHeader().GetKey()] = string(option.GetHeader().GetRawValue())
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -1,7 +1,7 @@
-// Package proxy provides a proxy of Envoy's family with an external processor. For each request it opens a stream,
-// requests a routing decision, forwards the request over HTTP/1.1 to the endpoint of the decision, reports the headers
-// of the response, and gives the client the response that the processor makes of it. By a [Behaviour] it disconnects,
-// names an attempt, or does not report the outcome.
+// Package proxy emulates an Envoy proxy with an external processor. For each request it opens a stream, requests a
+// routing decision, forwards the request over HTTP/1.1 to the endpoint of the decision, reports the headers of the
+// response, and gives the client the response that the processor makes of it. A [Behaviour] makes it disconnect early,
+// state the number of the attempt, or not report the outcome.
 package proxy
 
 import (
@@ -23,20 +23,20 @@
 	Body         string
 }
 
-// Behaviour is how one attempt differs from the ordinary. The zero value is an ordinary attempt.
+// Behaviour says how one attempt deviates from normal operation. The zero value is a normal attempt.
 type Behaviour struct {
-	DisconnectBeforeDecision bool // the stream is broken once the decision is requested
-	DisconnectAtDecision     bool // the stream is broken once the decision arrives, which is not used
+	DisconnectBeforeDecision bool // the stream is canceled once the decision has been requested
+	DisconnectAtDecision     bool // the stream is canceled once the decision has arrived, which is not used
 	NoReport                 bool // the request is forwarded, and the stream ends without a report
 	Attempt                  int  // x-envoy-attempt-count, 0 for none
 }
 
 // Result is the outcome of an attempt.
 type Result struct {
-	Decisions    int // messages that responded to the request headers: 1, unless the stream was broken before
+	Decisions    int // messages that responded to the request headers: 1, or 0 if the stream ended before
 	Decision     Decision
 	Code         int    // status code that the client gets
-	RetryAfter   string // that the client gets, with an immediate response
+	RetryAfter   string // of an immediate response, as the client gets it
 	RetryAllowed bool   // the processor permits another attempt
 	SentAt       time.Time
 	SentTo       string // endpoint
@@ -67,7 +67,7 @@
 	return p, nil
 }
 
-// Close breaks all connections, with the streams and requests on them.
+// Close closes all connections. The streams and requests on them fail.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,7 @@
 	p.idle = map[string][]*endpoint{}
 }
 
-// OpenStream opens a stream on the next connection in turn.
+// OpenStream opens a stream on one of the connections, which are used in rotation.
 func (p *Proxy) OpenStream(ctx context.Context) (extprocv3.ExternalProcessor_ProcessClient, error) {
 	p.mu.Lock()
 	conn := p.processors[p.nextProcessor%len(p.processors)]
@@ -124,12 +124,13 @@
 	return result
 }
 
-// forwardAndReport forwards a request by the decision in result, reports the response and adds what follows to result.
+// forwardAndReport forwards a request by the decision in result, reports the response to the processor, and sets the
+// remaining fields of result.
 func (p *Proxy) forwardAndReport(
 	stream extprocv3.ExternalProcessor_ProcessClient, request Request, behaviour Behaviour, result *Result,
 ) {
 	decision := result.Decision
-	timeoutMS, _ := strconv.Atoi(decision.Headers[headerTimeout]) // 0, which fails at once, if it is absent
+	timeoutMS, _ := strconv.Atoi(decision.Headers[headerTimeout]) // 0 if absent: the attempt times out at once
 	result.SentAt = time.Now()
 	result.SentTo = decision.Endpoint
 	upstream := p.forward(decision, request, time.Duration(timeoutMS)*time.Millisecond)
@@ -152,11 +153,11 @@
 	result.Err = result.applyResponse(message)
 }
 
-// applyResponse sets what the client gets by the processor's response to the report.
+// applyResponse sets what the client gets from the processor's response to the report.
 func (r *Result) applyResponse(message *extprocv3.ProcessingResponse) error {
 	switch response := message.Response.(type) {
 	case *extprocv3.ProcessingResponse_ResponseHeaders:
-		headers := setHeaders(response.ResponseHeaders.GetResponse().GetHeaderMutation())
+		headers := mutationHeaders(response.ResponseHeaders.GetResponse().GetHeaderMutation())
 		if status, ok := headers[headerStatus]; ok {
 			r.Code, _ = strconv.Atoi(status)
 		}
@@ -168,12 +169,12 @@
 		r.RetryAfter = decision.RetryAfter
 		return err
 	default:
-		return fmt.Errorf("%T in response to response headers", response)
+		return fmt.Errorf("unexpected %T in response to response headers", response)
 	}
 }
 
-// DoWithRetries makes attempts at a request as long as the processor permits another one. It calls each, unless that is
-// nil, with the result of every attempt, and returns the last one.
+// DoWithRetries repeats attempts at a request while the processor permits another one. It calls each, unless that is
+// nil, with the result of every attempt, and returns the last result.
 func (p *Proxy) DoWithRetries(ctx context.Context, request Request, each func(Result)) Result {
 	for attempt := 1; ; attempt++ {
 		result := p.Do(ctx, request, Behaviour{Attempt: attempt})
@@ -186,7 +187,7 @@
 	}
 }
 
-// endStream ends a stream, whose outcome is known, from the proxy's side and waits for its end.
+// endStream closes the proxy's side of a stream whose outcome is known, and waits for the processor to end it.
 func endStream(stream extprocv3.ExternalProcessor_ProcessClient) {
 	_ = stream.CloseSend()
 	_, _ = stream.Recv()
--- a/internal/standin/proxy/proxy_test.go
+++ b/internal/standin/proxy/proxy_test.go
@@ -80,8 +80,8 @@
 	return proxy, p
 }
 
-// setting returns a mutation that sets headers, given as names and values in turn.
-func setting(namesAndValues ...string) *extprocv3.HeaderMutation {
+// newHeaderMutation returns a mutation that sets headers, given as alternating names and values.
+func newHeaderMutation(namesAndValues ...string) *extprocv3.HeaderMutation {
 	mutation := &extprocv3.HeaderMutation{}
 	for pair := range slices.Chunk(namesAndValues, 2) {
 		mutation.SetHeaders = append(mutation.SetHeaders, &corev3.HeaderValueOption{Header: newHeader(pair[0], pair[1])})
@@ -96,7 +96,7 @@
 		Response: &extprocv3.ProcessingResponse_RequestHeaders{
 			RequestHeaders: &extprocv3.HeadersResponse{
 				Response: &extprocv3.CommonResponse{
-					HeaderMutation: setting(
+					HeaderMutation: newHeaderMutation(
 						headerEndpoint, address, headerTimeout, timeoutMS, headerTimeLeft, timeoutMS),
 				},
 			},
@@ -104,24 +104,24 @@
 	}
 }
 
-// immediate returns an immediate response.
-func immediate(code int, retryAfter string) *extprocv3.ProcessingResponse {
+// immediateResponse returns the decision to respond to the client without forwarding its request.
+func immediateResponse(code int, retryAfter string) *extprocv3.ProcessingResponse {
 	return &extprocv3.ProcessingResponse{
 		Response: &extprocv3.ProcessingResponse_ImmediateResponse{
 			ImmediateResponse: &extprocv3.ImmediateResponse{
 				Status:  &typev3.HttpStatus{Code: typev3.StatusCode(code)},
-				Headers: setting(headerRetryAfter, retryAfter),
+				Headers: newHeaderMutation(headerRetryAfter, retryAfter),
 			},
 		},
 	}
 }
 
-// accept returns the response to a report that sets headers.
-func accept(namesAndValues ...string) *extprocv3.ProcessingResponse {
+// reportResponse returns the response to a report, which sets headers.
+func reportResponse(namesAndValues ...string) *extprocv3.ProcessingResponse {
 	return &extprocv3.ProcessingResponse{
 		Response: &extprocv3.ProcessingResponse_ResponseHeaders{
 			ResponseHeaders: &extprocv3.HeadersResponse{
-				Response: &extprocv3.CommonResponse{HeaderMutation: setting(namesAndValues...)},
+				Response: &extprocv3.CommonResponse{HeaderMutation: newHeaderMutation(namesAndValues...)},
 			},
 		},
 	}
@@ -138,11 +138,11 @@
 
 func TestRequestIsForwardedAndReported(t *testing.T) {
 	endpoint := scriptedconn.New(t, scriptedconn.Always(scriptedconn.Full))
-	p, processor := dialProcessor(t, forwardTo(endpoint.Address, longTimeout), accept())
+	p, processor := dialProcessor(t, forwardTo(endpoint.Address, longTimeout), reportResponse())
 	for range 2 {
 		result := p.Do(t.Context(), testRequest, Behaviour{Attempt: 3})
 		if result.Err != nil || result.Code != 503 || result.Decisions != 1 || result.SentTo != endpoint.Address {
-			t.Errorf("result %+v", result)
+			t.Errorf("result %+v, want status 503 of the endpoint after one decision", result)
 		}
 	}
 	if requests, conns := endpoint.RequestCount(), endpoint.ConnCount(); requests != 2 || conns != 1 {
@@ -152,16 +152,16 @@
 	body, err := io.ReadAll(forwarded.Body)
 	if err != nil || string(body) != "body" || forwarded.URL.Path != "/pay/x" ||
 		forwarded.Header.Get("X-Time-Left-Ms") != "20000" || forwarded.Header.Get("X-Service-Class") != "pay" {
-		t.Errorf("forwarded %s with body %q, %v, %v", forwarded.URL, body, forwarded.Header, err)
+		t.Errorf("forwarded %s with body %q, headers %v, %v", forwarded.URL, body, forwarded.Header, err)
 	}
 	requested := headersOf((<-processor.requests).GetRequestHeaders())
 	if requested[headerMethod] != "POST" || requested[headerPath] != "/pay/x" || requested[headerAttempt] != "3" {
-		t.Errorf("decision requested with %v", requested)
+		t.Errorf("decision requested with headers %v, want POST /pay/x and attempt 3", requested)
 	}
 	report := <-processor.requests
 	reported := headersOf(report.GetResponseHeaders())
 	if reported[headerStatus] != "503" || reported["x-unprocessed"] != "1" {
-		t.Errorf("reported %v", reported)
+		t.Errorf("reported headers %v, want status 503 and x-unprocessed 1", reported)
 	}
 	details := report.Attributes[attributesNamespace].GetFields()[attributeDetails].GetStringValue()
 	served := report.MetadataContext.FilterMetadata[metadataNamespace].GetFields()[metadataServed].GetStringValue()
@@ -180,14 +180,14 @@
 }
 
 func TestImmediateResponseIsNotForwarded(t *testing.T) {
-	p, processor := dialProcessor(t, immediate(503, "1.5"), nil)
+	p, processor := dialProcessor(t, immediateResponse(503, "1.5"), nil)
 	result := p.Do(t.Context(), testRequest, Behaviour{})
 	if result.Err != nil || result.Code != 503 || result.RetryAfter != "1.5" || result.SentTo != "" {
-		t.Errorf("result %+v", result)
+		t.Errorf("result %+v, want status 503 with Retry-After 1.5, not forwarded", result)
 	}
 	<-processor.ended
 	if n := len(processor.requests); n != 1 {
-		t.Errorf("%d messages, want one", n)
+		t.Errorf("processor received %d messages, want 1", n)
 	}
 }
 
@@ -199,10 +199,10 @@
 		wantRetryAfter string
 		wantRetry      bool
 	}{
-		"unchanged":          {accept(), 200, "", false},
-		"another status":     {accept(headerStatus, "502"), 502, "", false},
-		"retry allowed":      {accept(headerRetryAllowed, "1"), 200, "", true},
-		"immediate response": {immediate(503, "2"), 503, "2", false},
+		"unchanged":          {reportResponse(), 200, "", false},
+		"another status":     {reportResponse(headerStatus, "502"), 502, "", false},
+		"retry allowed":      {reportResponse(headerRetryAllowed, "1"), 200, "", true},
+		"immediate response": {immediateResponse(503, "2"), 503, "2", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, _ := dialProcessor(t, forwardTo(endpoint.Address, longTimeout), test.reply)
@@ -215,7 +215,7 @@
 	}
 }
 
-// Where an endpoint does not respond, the proxy reports what Envoy does.
+// If an endpoint does not respond, the proxy reports the status code and details that Envoy reports.
 func TestMissingResponseIsReportedAsByEnvoy(t *testing.T) {
 	unresponsive := scriptedconn.New(t, scriptedconn.Unresponsive)
 	closing := scriptedconn.New(t, func(e *scriptedconn.Endpoint, _ net.Conn, in *bufio.Reader) { e.Next(in) })
@@ -225,15 +225,15 @@
 		wantCode    int
 		wantDetails string
 	}{
-		"refused": {ports.MustFree(t), longTimeout, 503, detailsNotDialed},
+		"refused": {ports.MustFree(t), longTimeout, 503, detailsConnectFailed},
 		"timeout": {unresponsive.Address, 50 * time.Millisecond, 504, detailsTimeout},
 		"closed":  {closing.Address, longTimeout, 503, detailsReset},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, processor := dialProcessor(t, forwardTo(test.address, test.timeout), accept())
+			p, processor := dialProcessor(t, forwardTo(test.address, test.timeout), reportResponse())
 			result := p.Do(t.Context(), testRequest, Behaviour{})
 			if result.Err != nil || result.Code != test.wantCode {
-				t.Errorf("result %+v, want %d", result, test.wantCode)
+				t.Errorf("result %+v, want status code %d", result, test.wantCode)
 			}
 			<-processor.requests
 			report := <-processor.requests
@@ -258,7 +258,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoint := scriptedconn.New(t, scriptedconn.Always(scriptedconn.Served))
-			p, processor := dialProcessor(t, forwardTo(endpoint.Address, longTimeout), accept())
+			p, processor := dialProcessor(t, forwardTo(endpoint.Address, longTimeout), reportResponse())
 			result := p.Do(t.Context(), testRequest, test.behaviour)
 			if result.Err != nil || result.Decisions != test.wantDecisions || result.Code != test.wantCode {
 				t.Errorf("result %+v", result)
@@ -266,10 +266,10 @@
 			if n := endpoint.RequestCount(); n != test.wantForwarded {
 				t.Errorf("%d requests were forwarded, want %d", n, test.wantForwarded)
 			}
-			if test.wantDecisions > 0 { // else the stream may never have reached the processor
+			if test.wantDecisions > 0 { // otherwise the stream may never have reached the processor
 				<-processor.ended
 				if n := len(processor.requests); n != 1 {
-					t.Errorf("%d messages, want the request for a decision", n)
+					t.Errorf("processor received %d messages, want only the request for a decision", n)
 				}
 			}
 		})
@@ -278,7 +278,7 @@
 
 func TestPermittedRetriesContinueUntilError(t *testing.T) {
 	endpoint := scriptedconn.New(t, scriptedconn.Always(scriptedconn.Failing))
-	p, processor := dialProcessor(t, forwardTo(endpoint.Address, longTimeout), accept(headerRetryAllowed, "1"))
+	p, processor := dialProcessor(t, forwardTo(endpoint.Address, longTimeout), reportResponse(headerRetryAllowed, "1"))
 	var attempts []string
 	result := p.DoWithRetries(t.Context(), testRequest, func(result Result) {
 		if result.Err != nil {
@@ -288,7 +288,7 @@
 		<-processor.requests // the report
 		attempts = append(attempts, requested[headerAttempt])
 		if len(attempts) == 3 {
-			p.Close() // the next attempt has no processor
+			p.Close() // the next attempt has no connection to the processor
 		}
 	})
 	if result.Err == nil {
@@ -301,10 +301,10 @@
 
 func TestRetriesEndWithoutPermission(t *testing.T) {
 	endpoint := scriptedconn.New(t, scriptedconn.Always(scriptedconn.Failing))
-	p, _ := dialProcessor(t, forwardTo(endpoint.Address, longTimeout), accept())
+	p, _ := dialProcessor(t, forwardTo(endpoint.Address, longTimeout), reportResponse())
 	result := p.DoWithRetries(t.Context(), testRequest, nil)
 	if result.Err != nil || result.Code != http.StatusInternalServerError {
-		t.Errorf("result %+v", result)
+		t.Errorf("result %+v, want status code 500", result)
 	}
 	if n := endpoint.RequestCount(); n != 1 {
 		t.Errorf("%d attempts, want 1", n)
