--- a/internal/standin/scriptedconn/scriptedconn.go
+++ b/internal/standin/scriptedconn/scriptedconn.go
@@ -1,4 +1,4 @@
-// Package scriptedconn provides a TCP endpoint whose responses a test writes byte by byte, for what no
+// Package scriptedconn provides a TCP endpoint whose responses a test writes byte by byte, including those that no
 // correct server would send.
 package scriptedconn
 
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// Responses that endpoints give.
+// Complete responses for handlers to write.
 const (
 	Served  = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	Failing = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
@@ -53,8 +53,8 @@
 	return e
 }
 
-// accept serves connections until the listener is closed. It does not wait for their handlers, which a test
-// may have left waiting for a release that never comes.
+// accept serves connections until the listener is closed. It does not wait for their handlers, because a test may end
+// while a handler waits to be released.
 func (e *Endpoint) accept(t testing.TB, listener net.Listener, handler Handler) {
 	for {
 		conn, err := listener.Accept()
@@ -73,7 +73,7 @@
 	}
 }
 
-// serve has a handler serve one connection.
+// serve passes one connection to a handler, and closes it once the handler returns.
 func (e *Endpoint) serve(conn net.Conn, handler Handler) {
 	defer func() {
 		conn.Close()
@@ -122,7 +122,7 @@
 	return e.openConns
 }
 
-// Request returns the request that was read as number i, from 0.
+// Request returns the i-th request that was read, counted from 0.
 func (e *Endpoint) Request(i int) *http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,8 +152,8 @@
 	}
 }
 
-// ServedAfter returns a handler that serves every request, but those that match only once release is closed. A nil
-// matches stands for all requests.
+// ServedAfter returns a handler that serves every request, but serves those that match only once release is closed. If
+// matches is nil, all requests match.
 func ServedAfter(release <-chan struct{}, matches func(*http.Request) bool) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
 		for request := e.Next(in); request != nil; request = e.Next(in) {
--- a/internal/standin/scriptedconn/scriptedconn_test.go
+++ b/internal/standin/scriptedconn/scriptedconn_test.go
@@ -61,7 +61,7 @@
 		conn := dial(t, e)
 		conn.send("/x")
 		if code := conn.receive(); code != want {
-			t.Errorf("response %d is %d, want %d", i, code, want)
+			t.Errorf("response %d has status code %d, want %d", i, code, want)
 		}
 	}
 	if requests, conns := e.RequestCount(), e.ConnCount(); requests != 3 || conns != 3 {
@@ -76,14 +76,14 @@
 	delayed.send("/delayed")
 	other.send("/other")
 	if code := other.receive(); code != http.StatusOK {
-		t.Errorf("the other response is %d", code)
+		t.Errorf("the other response has status code %d, want 200", code)
 	}
 	if n := delayed.reader.Buffered(); n > 0 {
-		t.Errorf("%d bytes of the delayed response", n)
+		t.Errorf("%d bytes of the delayed response arrived before its release", n)
 	}
 	close(release)
 	if code := delayed.receive(); code != http.StatusOK {
-		t.Errorf("the delayed response is %d", code)
+		t.Errorf("the delayed response has status code %d, want 200", code)
 	}
 }
 
@@ -100,6 +100,6 @@
 	request := e.Request(1)
 	body, err := io.ReadAll(request.Body)
 	if err != nil || request.URL.Path != "/b" || string(body) != "body" {
-		t.Errorf("request for %s with body %q, %v", request.URL.Path, body, err)
+		t.Errorf("request for %s with body %q, %v; want /b with body", request.URL.Path, body, err)
 	}
 }
--- a/internal/standin/udprelay/udprelay.go
+++ b/internal/standin/udprelay/udprelay.go
@@ -1,6 +1,6 @@
 // Package udprelay provides a lossy network path on loopback between a QUIC client and its server: it forwards
-// datagrams, and drops, duplicates, delays and reorders them by a script. It can change the client's address as a
-// rebinding NAT does, and block one direction.
+// datagrams, and drops, duplicates, delays and reorders them according to a script. It can change the client's address
+// as a rebinding NAT does, and block one direction.
 package udprelay
 
 import (
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Script says what happens to datagrams in both directions. Ratios, from 0 to 1, are drawn from the seed that the relay
-// was started with.
+// Script says what happens to datagrams in both directions. Ratios are from 0 to 1; the seed that the relay was started
+// with determines the affected datagrams.
 type Script struct {
 	Loss      float64       // ratio of datagrams that are dropped
 	Duplicate float64       // ratio that is forwarded twice
@@ -21,17 +21,17 @@
 	Seed      uint64
 }
 
-// Direction is that of a datagram.
+// Direction is the direction in which a datagram is forwarded.
 type Direction int
 
-// The directions.
+// Values of [Direction].
 const (
 	ToServer Direction = iota
 	ToClient
 	directionCount
 )
 
-// maxDatagramBytes is more than any datagram of QUIC on loopback.
+// maxDatagramBytes exceeds the size of any QUIC datagram on loopback.
 const maxDatagramBytes = 1 << 16
 
 // Relay forwards datagrams between a server and one client at a time.
@@ -45,9 +45,9 @@
 	mu           sync.Mutex
 	script       Script
 	random       *rand.Rand
-	client       *net.UDPAddr // that sent last
+	client       *net.UDPAddr // that the last datagram of a client came from
 	serverSide   *net.UDPConn // its local address is the client's, as the server sees it
-	addressCount int          // of serverSide so far
+	addressCount int          // number of addresses that serverSide has had
 	directions   [directionCount]directionState
 	closed       bool
 }
@@ -55,7 +55,7 @@
 // directionState is the state of one direction.
 type directionState struct {
 	blocked   bool
-	delayed   []byte // a datagram to be forwarded after the next one
+	held      []byte // a datagram to be forwarded after the next one
 	datagrams int    // received so far
 }
 
@@ -109,14 +109,14 @@
 	return r.addressCount
 }
 
-// SetScript replaces the script. Its seed is not used.
+// SetScript replaces the script. The seed of the new script is ignored.
 func (r *Relay) SetScript(script Script) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.script = script
 }
 
-// SetBlocked drops all datagrams of a direction, or forwards them again.
+// SetBlocked sets whether all datagrams of a direction are dropped.
 func (r *Relay) SetBlocked(direction Direction, blocked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,7 +166,7 @@
 			r.forward(ToClient, serverSide, buffer[:n])
 			continue
 		}
-		// "Port unreachable", while the server is down, is no end.
+		// While the server is down, reads fail with "port unreachable", and the relay continues.
 		r.mu.Lock()
 		ended := r.closed || r.serverSide != serverSide
 		r.mu.Unlock()
@@ -176,8 +176,8 @@
 	}
 }
 
-// forward forwards a datagram, and those that it releases, as the script says. One that was sent to an earlier address
-// of the client, which is that of from, is lost; from is nil for a datagram of the client.
+// forward applies the script to a datagram, and forwards it and any that it releases. For a datagram of the server,
+// from is the socket that received it, else nil. A datagram sent to an earlier address of the client is lost.
 func (r *Relay) forward(direction Direction, from *net.UDPConn, datagram []byte) {
 	r.mu.Lock()
 	if from != nil && from != r.serverSide {
@@ -196,7 +196,7 @@
 	}
 }
 
-// applyScript returns the datagrams to forward after one is received, as copies. The lock is held.
+// applyScript returns the datagrams to forward after one is received, as copies. The caller holds the lock.
 func (r *Relay) applyScript(direction Direction, datagram []byte) [][]byte {
 	state := &r.directions[direction]
 	state.datagrams++
@@ -204,17 +204,17 @@
 		return nil
 	}
 	datagram = bytes.Clone(datagram)
-	if state.delayed == nil && r.random.Float64() < r.script.Reorder {
-		state.delayed = datagram
+	if state.held == nil && r.random.Float64() < r.script.Reorder {
+		state.held = datagram
 		return nil
 	}
 	released := [][]byte{datagram}
 	if r.random.Float64() < r.script.Duplicate {
 		released = append(released, datagram)
 	}
-	if state.delayed != nil {
-		released = append(released, state.delayed)
-		state.delayed = nil
+	if state.held != nil {
+		released = append(released, state.held)
+		state.held = nil
 	}
 	return released
 }
--- a/internal/standin/udprelay/udprelay_test.go
+++ b/internal/standin/udprelay/udprelay_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Timeouts of reads: of a datagram that must come, and of one that must not.
+// Timeouts for reading a datagram that must arrive, and one that must not.
 const (
 	arrivalTimeout = 10 * time.Second
 	absenceTimeout = 100 * time.Millisecond
@@ -82,7 +82,7 @@
 		p.t.Fatal(err)
 	}
 	if n, err := conn.Read(make([]byte, 100)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		p.t.Errorf("a datagram of %d bytes, %v", n, err)
+		p.t.Errorf("read %d bytes, %v; want no datagram", n, err)
 	}
 }
 
@@ -124,7 +124,7 @@
 			p.send("a", "b", "c")
 			got, _ := p.receive(len(test.want))
 			if test.script.Delay > 0 {
-				slices.Sort(got) // timers of one instant have no order
+				slices.Sort(got) // timers that expire at the same time run in any order
 			}
 			if !slices.Equal(got, test.want) {
 				t.Errorf("the server received %q, want %q", got, test.want)
