--- a/internal/standin/fakezookeeper/connection.go
+++ b/internal/standin/fakezookeeper/connection.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// writeTimeout is that of a frame.
+// writeTimeout bounds the writing of one frame.
 const writeTimeout = time.Second
 
 // Lengths of fields, in bytes.
@@ -23,7 +23,7 @@
 	net.Conn
 	member     *Member
 	session    *session
-	identities []string // that the client has authenticated as, by digest
+	identities []string // digest identities that the client has authenticated as
 	watches    map[watchKey]bool
 	writeMu    sync.Mutex
 }
@@ -83,14 +83,14 @@
 	}
 	length := binary.BigEndian.Uint32(head[:])
 	if length > maxFrameBytes {
-		return nil, fmt.Errorf("a frame of %d bytes", length)
+		return nil, fmt.Errorf("frame of %d bytes exceeds the limit of %d bytes", length, maxFrameBytes)
 	}
 	data := make([]byte, length)
 	_, err := io.ReadFull(c, data)
 	return data, err
 }
 
-// send writes one frame. If that fails, the connection's reader will notice.
+// send writes one frame. A write error is ignored, because the connection's reader fails as well.
 func (c *conn) send(w *writer) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -104,8 +104,8 @@
 	if err != nil {
 		return
 	}
-	opening, err := parseConnect(data)
-	if err != nil || !c.open(opening) {
+	connectReq, err := parseConnect(data)
+	if err != nil || !c.open(connectReq) {
 		return
 	}
 	for {
@@ -120,7 +120,7 @@
 	}
 }
 
-// serveRequest responds to a request as the member is set to. It reports whether the connection stays open.
+// serveRequest responds to a request, unless the member is unresponsive. It reports whether the connection stays open.
 func (c *conn) serveRequest(r request) bool {
 	s := c.member.service
 	s.mu.Lock()
@@ -144,29 +144,29 @@
 
 // open responds to a connect request with a new session, or with one that has not ended. It reports whether the
 // connection stays open.
-func (c *conn) open(opening connectRequest) bool {
+func (c *conn) open(connectReq connectRequest) bool {
 	s := c.member.service
 	s.mu.Lock()
 	if c.member.unresponsive {
 		s.mu.Unlock()
-		_, _ = io.Copy(io.Discard, c) // until the client gives up
+		_, _ = io.Copy(io.Discard, c) // until the client disconnects
 		return false
 	}
-	if opening.zxid > s.zxid {
+	if connectReq.zxid > s.zxid {
 		// A member that is behind the client closes the connection, so that the client tries another.
 		s.mu.Unlock()
 		return false
 	}
-	c.session = s.openSession(opening)
-	answered := c.session
-	if answered == nil {
-		answered = &session{password: make([]byte, passwordBytes)} // id 0 says that the session has ended
+	c.session = s.openSession(connectReq)
+	responseSession := c.session
+	if responseSession == nil {
+		responseSession = &session{password: make([]byte, passwordBytes)} // id 0 says that the session has ended
 	} else {
-		answered.conn = c
-		answered.lastSeen = time.Now()
+		responseSession.conn = c
+		responseSession.lastSeen = time.Now()
 	}
 	response := newFrame()
-	response.connectResponse(answered)
+	response.connectResponse(responseSession)
 	s.mu.Unlock()
 	c.send(response)
 	return c.session != nil
--- a/internal/standin/fakezookeeper/control.go
+++ b/internal/standin/fakezookeeper/control.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Put creates a lasting node, with the directories above it, or sets the data of a node.
+// Put creates a persistent node, with its missing ancestors, or sets the data of an existing node.
 func (s *Service) Put(nodePath string, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -18,7 +18,7 @@
 	s.create(nodePath, data, nil, 0)
 }
 
-// createParents creates the directories above a path that do not exist, the uppermost first. It holds mu.
+// createParents creates the missing ancestors of a path, the uppermost first. The caller holds mu.
 func (s *Service) createParents(nodePath string) {
 	parent := path.Dir(nodePath)
 	if s.nodes[parent] != nil {
@@ -70,13 +70,14 @@
 func (s *Service) ExpireSession(id int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known := s.sessions[id]; known != nil {
-		s.endSession(known)
+	if sess := s.sessions[id]; sess != nil {
+		s.endSession(sess)
 	}
 }
 
-// SetUnresponsive has all members read requests without a response, with their connections open, or respond again.
-// What was read meanwhile is lost with its connection. No session expires while members are unresponsive.
+// SetUnresponsive makes all members read requests without responding, with their connections open, or respond again.
+// Requests read meanwhile are never answered, and their connections are closed when members respond again. No session
+// expires while members are unresponsive.
 func (s *Service) SetUnresponsive(unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +90,7 @@
 	s.restartSessionTimeouts()
 }
 
-// SetRejecting has all members close their connections, and then new ones at once or not. No session expires while
+// SetRejecting closes all connections, and sets whether members close new ones at once. No session expires while
 // members reject connections.
 func (s *Service) SetRejecting(rejecting bool) {
 	s.mu.Lock()
@@ -101,7 +102,7 @@
 	s.restartSessionTimeouts()
 }
 
-// SetDelay has all members wait before each response.
+// SetDelay makes all members wait before each response.
 func (s *Service) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,8 +117,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if loseSessions {
-		for _, known := range s.sessions {
-			s.endSession(known)
+		for _, sess := range s.sessions {
+			s.endSession(sess)
 		}
 	}
 	s.zxid = max(0, s.zxid+zxidChange)
@@ -138,8 +139,8 @@
 	}}
 }
 
-// SetStaleView has a member serve reads from a copy of the present tree without the nodes of these paths, whatever
-// changes later, or from the current tree again.
+// SetStaleView makes a member serve reads from a copy of the tree as it is now, without the nodes of these paths, or
+// from the current tree again.
 func (m *Member) SetStaleView(stale bool, without ...string) {
 	s := m.service
 	s.mu.Lock()
@@ -150,7 +151,7 @@
 	}
 }
 
-// copyTree returns a copy of the tree without the nodes of these paths. It holds mu.
+// copyTree returns a copy of the tree without the nodes of these paths. The caller holds mu.
 func (s *Service) copyTree(without []string) map[string]*node {
 	tree := map[string]*node{}
 	for nodePath, n := range s.nodes {
@@ -176,7 +177,7 @@
 	m.closeConns()
 }
 
-// closeConns closes a member's connections. It holds the service's mu.
+// closeConns closes a member's connections. The caller holds the service's mu.
 func (m *Member) closeConns() {
 	for c := range m.conns {
 		c.Close()
--- a/internal/standin/fakezookeeper/fakezookeeper.go
+++ b/internal/standin/fakezookeeper/fakezookeeper.go
@@ -12,7 +12,7 @@
 
 // Service is a tree of nodes behind one or more members. Make one with [New] or [Start].
 type Service struct {
-	mu          sync.Mutex       // guards the state of members, sessions and connections, too
+	mu          sync.Mutex       // also guards the state of members, sessions and connections
 	nodes       map[string]*node // by path
 	sessions    map[int64]*session
 	members     []*Member
@@ -85,7 +85,7 @@
 	return addresses
 }
 
-// Member returns the member of number n, from 0.
+// Member returns the n-th member, counted from 0.
 func (s *Service) Member(n int) *Member { return s.members[n] }
 
 // RequestCount returns the number of requests of an operation that members have received.
@@ -105,7 +105,7 @@
 	s.stopped.Wait()
 }
 
-// closeListeners closes all listeners and connections and lets goroutines end.
+// closeListeners closes all listeners and connections, and signals the service's goroutines to end.
 func (s *Service) closeListeners() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/fakezookeeper/fakezookeeper_test.go
+++ b/internal/standin/fakezookeeper/fakezookeeper_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/goleak"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is how long a test waits for an expected outcome.
 const testTimeout = 10 * time.Second
 
 // startService starts a service whose goroutines must have ended with the test.
@@ -81,7 +81,7 @@
 	}
 }
 
-// The public client library gets the results of ZooKeeper from the operations on nodes and their watches.
+// With the public client library, operations on nodes and their watches have the same results as with ZooKeeper.
 func TestPublicClientUsesNodesAndWatches(t *testing.T) {
 	s := startService(t, 1)
 	c := connect(t, s, testTimeout)
@@ -148,7 +148,7 @@
 		t.Errorf("delete of a directory: %v", err)
 	}
 	if err := c.Delete("/d/later", 7); !errors.Is(err, zk.ErrBadVersion) {
-		t.Errorf("delete of an old version: %v", err)
+		t.Errorf("delete of another version: %v", err)
 	}
 	if err := c.Delete("/d/later", 0); err != nil {
 		t.Errorf("delete: %v", err)
@@ -167,24 +167,24 @@
 	}
 }
 
-// Only the client that has authenticated may read a node that it has created for its own identity. A session that is
-// closed takes its ephemeral nodes with it.
+// A node that a client has created for its own identity can be read only by clients that have authenticated. When a
+// session is closed, its ephemeral nodes are deleted.
 func TestIdentityProtectsNodeAndCloseRemovesEphemeralNode(t *testing.T) {
 	s := startService(t, 1)
-	c, stranger := connect(t, s, testTimeout), connect(t, s, testTimeout)
+	c, unauthenticated := connect(t, s, testTimeout), connect(t, s, testTimeout)
 	if err := c.AddAuth("digest", []byte("u:p")); err != nil {
 		t.Errorf("auth: %v", err)
 	}
 	if _, err := c.Create("/own", []byte("x"), 0, zk.AuthACL(zk.PermAll)); err != nil {
-		t.Errorf("create with a list of its own: %v", err)
+		t.Errorf("create with an access control list: %v", err)
 	}
-	if _, _, err := stranger.Get("/own"); !errors.Is(err, zk.ErrNoAuth) {
-		t.Errorf("a stranger's get: %v", err)
+	if _, _, err := unauthenticated.Get("/own"); !errors.Is(err, zk.ErrNoAuth) {
+		t.Errorf("get by an unauthenticated client: %v, want an authorization error", err)
 	}
 	if _, err := c.Create("/e", nil, zk.FlagEphemeral, zk.WorldACL(zk.PermAll)); err != nil {
 		t.Fatal(err)
 	}
-	_, _, deleted, err := stranger.GetW("/e")
+	_, _, deleted, err := unauthenticated.GetW("/e")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,13 +206,13 @@
 	id := c.SessionID()
 	s.Member(0).CloseConnections()
 	s.Member(1).CloseConnections()
-	waitUntil(t, "the session does not come back", func() bool {
+	waitUntil(t, "the session was not resumed", func() bool {
 		_, _, err := c.Get("/e")
 		return err == nil && c.SessionID() == id
 	})
 	s.ExpireSession(id)
 	expectEvent(t, deleted, zk.EventNodeDeleted, "/e")
-	waitUntil(t, "no new session", func() bool { return c.SessionID() != id && c.SessionID() != 0 })
+	waitUntil(t, "no new session was opened", func() bool { return c.SessionID() != id && c.SessionID() != 0 })
 }
 
 // A session on which nothing is received ends after its timeout.
@@ -229,7 +229,7 @@
 	if id := binary.BigEndian.Uint64(response[12:]); id == 0 {
 		t.Fatal("the connect request opened no session")
 	}
-	waitUntil(t, "the silent session does not end", func() bool { return len(s.Sessions()) == 0 })
+	waitUntil(t, "the silent session did not expire", func() bool { return len(s.Sessions()) == 0 })
 }
 
 // dial opens a connection that ends with the test.
@@ -332,7 +332,7 @@
 	// exists (3) "/b" with a watch: err -101 (no node), no body.
 	raw.send("0000000f 00000004 00000003 00000002 2f62 01")
 	if rest := raw.expect("exists", "00000004 0000000000000001 ffffff9b"); len(rest) != 0 {
-		t.Errorf("exists: %x behind an error", rest)
+		t.Errorf("exists: body %x after an error, want none", rest)
 	}
 	// setData (5) "/a", data none (-1), version -1: a Stat with dataLength 0, version 1.
 	raw.send("00000016 00000005 00000005 00000002 2f61 ffffffff ffffffff")
@@ -391,12 +391,12 @@
 	f.Add(make([]byte, 44))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if c, err := parseConnect(data); err == nil && len(c.password) > len(data) {
-			t.Errorf("a password of %d bytes in %d", len(c.password), len(data))
+			t.Errorf("password of %d bytes from a frame of %d bytes", len(c.password), len(data))
 		}
 		r, err := parseRequest(data)
 		watches := len(r.dataWatches) + len(r.childWatches) + len(r.existWatches)
 		if err == nil && len(r.path)+len(r.data)+watches > len(data) {
-			t.Errorf("%+v from %d bytes", r, len(data))
+			t.Errorf("request %+v from a frame of %d bytes", r, len(data))
 		}
 	})
 }
--- a/internal/standin/fakezookeeper/jute.go
+++ b/internal/standin/fakezookeeper/jute.go
@@ -39,11 +39,11 @@
 // maxFrameBytes is the length of the longest frame that is read, which is ZooKeeper's limit (jute.maxbuffer).
 const maxFrameBytes = 1 << 20
 
-// nullLength is the length of a string, buffer or list that is not there.
+// nullLength is the length that stands for a null string, buffer or list.
 const nullLength = -1
 
 // errTruncated means that a frame ends within a field.
-var errTruncated = errors.New("the frame ends within a field")
+var errTruncated = errors.New("frame truncated within a field")
 
 // reader reads the fields of a frame in Jute's encoding: numbers are big-endian; strings, buffers and lists follow
 // their length. After an error it reads zero values.
@@ -102,7 +102,7 @@
 		return 0
 	}
 	if n < 0 || n > len(r.data)/minBytes {
-		r.err = fmt.Errorf("a list of %d items in %d bytes", n, len(r.data))
+		r.err = fmt.Errorf("list of %d items does not fit in the remaining %d bytes", n, len(r.data))
 		return 0
 	}
 	return n
@@ -157,11 +157,11 @@
 }
 
 // connectResponse writes the response to a connect request.
-func (w *writer) connectResponse(opened *session) {
+func (w *writer) connectResponse(sess *session) {
 	w.int32(0) // protocol version
-	w.int32(int32(opened.timeout.Milliseconds()))
-	w.int64(opened.id)
-	w.buffer(opened.password)
+	w.int32(int32(sess.timeout.Milliseconds()))
+	w.int64(sess.id)
+	w.buffer(sess.password)
 }
 
 // header writes the header of a response or watch event.
@@ -217,12 +217,12 @@
 		r.bool() // read-only mode, which clients send from version 3.4 on
 	}
 	if r.err == nil && len(r.data) > 0 {
-		r.err = fmt.Errorf("%d bytes behind the connect request", len(r.data))
+		r.err = fmt.Errorf("%d unexpected bytes after the connect request", len(r.data))
 	}
 	return c, r.err
 }
 
-// request is any other frame. Only the fields of its operation are set.
+// request is any frame after the connect request. Only the fields of its operation are set.
 type request struct {
 	xid     int32
 	op      int32
@@ -271,10 +271,10 @@
 		parsed.existWatches = r.strings()
 		parsed.childWatches = r.strings()
 	default:
-		return parsed, r.err // its response is that it is not supported, whatever it holds
+		return parsed, r.err // answered with codeUnimplemented, whatever else the frame contains
 	}
 	if r.err == nil && len(r.data) > 0 {
-		r.err = fmt.Errorf("%d bytes behind a request of operation %d", len(r.data), parsed.op)
+		r.err = fmt.Errorf("%d unexpected bytes after a request of operation %d", len(r.data), parsed.op)
 	}
 	return parsed, r.err
 }
--- a/internal/standin/fakezookeeper/request.go
+++ b/internal/standin/fakezookeeper/request.go
@@ -42,7 +42,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sessions[c.session.id] != c.session {
-		return false // it has expired
+		return false // the session has expired
 	}
 	c.session.lastSeen = time.Now()
 	var body writer
@@ -53,9 +53,9 @@
 		*response = append(*response, body...)
 	}
 	if r.op == OpClose {
-		s.forgetSession(c.session.id) // its connection is closed after the response
+		s.removeSession(c.session.id) // its connection is closed after the response
 	}
-	// Responses and watch events are sent in the order of the changes: under the lock.
+	// The lock is held while sending, so that responses and watch events are sent in the order of the changes.
 	c.send(response)
 	return r.op != OpClose && code != codeAuthFailed
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// executeOnPath is execute for the operations that have a path.
+// executeOnPath executes a request whose operation has a path.
 func (c *conn) executeOnPath(r request, body *writer) int32 {
 	switch r.op {
 	case OpCreate:
@@ -119,7 +119,8 @@
 	return c.member.service.nodes
 }
 
-// isAllowed reports whether the connection has a permission on a node. A node without a list is open to all.
+// isAllowed reports whether the connection has a permission on a node. A node without an access control list is open to
+// all.
 func (c *conn) isAllowed(n *node, perm int32) bool {
 	if len(n.acl) == 0 {
 		return true
@@ -129,7 +130,7 @@
 	})
 }
 
-// matches reports whether an entry of an access control list stands for an identity of the connection.
+// matches reports whether an entry of an access control list applies to an identity of the connection.
 func (c *conn) matches(entry ACL) bool {
 	switch entry.Scheme {
 	case schemeWorld:
--- a/internal/standin/fakezookeeper/session.go
+++ b/internal/standin/fakezookeeper/session.go
@@ -10,7 +10,7 @@
 // expireInterval is how often sessions are checked for their timeout.
 const expireInterval = 10 * time.Millisecond
 
-// A session's id has its number in the upper bits and the same suffix as all others.
+// A session's id consists of its number, in the upper bits, and a suffix that is the same for all sessions.
 const (
 	sessionNumberShift = 8
 	sessionIDSuffix    = 1
@@ -26,35 +26,35 @@
 }
 
 // openSession returns a new session, or one that has not ended, whose earlier connection it closes. It returns nil if
-// there is no such session. It holds mu.
+// there is no such session. The caller holds mu.
 func (s *Service) openSession(request connectRequest) *session {
 	if request.session == 0 {
 		return s.newSession(time.Duration(request.timeoutMS) * time.Millisecond)
 	}
-	known := s.sessions[request.session]
-	if known == nil || !bytes.Equal(known.password, request.password) {
+	sess := s.sessions[request.session]
+	if sess == nil || !bytes.Equal(sess.password, request.password) {
 		return nil
 	}
-	if known.conn != nil {
-		known.conn.Close()
+	if sess.conn != nil {
+		sess.conn.Close()
 	}
-	return known
+	return sess
 }
 
-// newSession adds a session. It holds mu.
+// newSession adds a session. The caller holds mu.
 func (s *Service) newSession(timeout time.Duration) *session {
 	s.lastSession++
-	opened := &session{
+	sess := &session{
 		id:       s.lastSession<<sessionNumberShift | sessionIDSuffix,
 		password: make([]byte, passwordBytes),
 		timeout:  timeout,
 	}
-	rand.Read(opened.password)
-	s.sessions[opened.id] = opened
-	return opened
+	rand.Read(sess.password)
+	s.sessions[sess.id] = sess
+	return sess
 }
 
-// expireUntilStop ends sessions whose timeout is over, until the service is closed.
+// expireUntilStop ends sessions whose timeout has passed, until the service is closed.
 func (s *Service) expireUntilStop() {
 	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
@@ -68,30 +68,30 @@
 	}
 }
 
-// expireSessions ends the sessions whose timeout is over, unless a member is unresponsive or rejects connections.
+// expireSessions ends the sessions whose timeout has passed, unless a member is unresponsive or rejects connections.
 func (s *Service) expireSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if slices.ContainsFunc(s.members, func(m *Member) bool { return m.unresponsive || m.rejecting }) {
 		return
 	}
-	for _, known := range s.sessions {
-		if time.Since(known.lastSeen) > known.timeout {
-			s.endSession(known)
+	for _, sess := range s.sessions {
+		if time.Since(sess.lastSeen) > sess.timeout {
+			s.endSession(sess)
 		}
 	}
 }
 
-// endSession ends a session, with its nodes and its connection. It holds mu.
-func (s *Service) endSession(ended *session) {
-	s.forgetSession(ended.id)
-	if ended.conn != nil {
-		ended.conn.Close()
+// endSession ends a session, with its nodes and its connection. The caller holds mu.
+func (s *Service) endSession(sess *session) {
+	s.removeSession(sess.id)
+	if sess.conn != nil {
+		sess.conn.Close()
 	}
 }
 
-// forgetSession removes a session and its nodes, and leaves its connection open. It holds mu.
-func (s *Service) forgetSession(id int64) {
+// removeSession removes a session and its nodes, and leaves its connection open. The caller holds mu.
+func (s *Service) removeSession(id int64) {
 	delete(s.sessions, id)
 	var owned []string
 	for nodePath, n := range s.nodes {
@@ -105,10 +105,10 @@
 	}
 }
 
-// restartSessionTimeouts lets the timeout of every session begin now. It holds mu.
+// restartSessionTimeouts restarts the timeout of every session. The caller holds mu.
 func (s *Service) restartSessionTimeouts() {
 	now := time.Now()
-	for _, known := range s.sessions {
-		known.lastSeen = now
+	for _, sess := range s.sessions {
+		sess.lastSeen = now
 	}
 }
--- a/internal/standin/fakezookeeper/tree.go
+++ b/internal/standin/fakezookeeper/tree.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// node is one node of the tree, with what its Stat has.
+// node is one node of the tree, with the fields of its Stat.
 type node struct {
 	data                []byte
 	acl                 []ACL
@@ -18,7 +18,7 @@
 	nextSequence        int32 // of sequential children
 }
 
-// childNames returns the sorted names of a node's children, nil for no node.
+// childNames returns the sorted names of a node's children, nil if n is nil.
 func childNames(n *node) []string {
 	if n == nil {
 		return nil
@@ -31,7 +31,7 @@
 	return names
 }
 
-// create creates a node and fires its watches. It holds mu.
+// create creates a node and fires its watches. The caller holds mu.
 func (s *Service) create(nodePath string, data []byte, acl []ACL, owner int64) {
 	s.zxid++
 	now := time.Now().UnixMilli()
@@ -55,7 +55,7 @@
 	s.fire(parentPath, eventChildren, childWatch)
 }
 
-// setData replaces a node's data and fires its watches. It holds mu.
+// setData replaces a node's data and fires its watches. The caller holds mu.
 func (s *Service) setData(nodePath string, n *node, data []byte) {
 	s.zxid++
 	n.data = data
@@ -65,7 +65,7 @@
 	s.fire(nodePath, eventData, dataWatch)
 }
 
-// remove deletes a node and fires its watches. It holds mu.
+// remove deletes a node and fires its watches. The caller holds mu.
 func (s *Service) remove(nodePath string) {
 	s.zxid++
 	delete(s.nodes, nodePath)
--- a/internal/standin/fakezookeeper/watch.go
+++ b/internal/standin/fakezookeeper/watch.go
@@ -33,15 +33,15 @@
 	path string
 }
 
-// watch sets the watch that a request asks for.
+// watch sets a watch if the request asks for one.
 func (c *conn) watch(r request, kind watchKind) {
 	if r.watch {
 		c.watches[watchKey{kind, r.path}] = true
 	}
 }
 
-// takeWatches removes a connection's watches of these kinds on a node. It reports whether there were any.
-func (c *conn) takeWatches(nodePath string, kinds []watchKind) bool {
+// removeWatches removes a connection's watches of these kinds on a node. It reports whether there were any.
+func (c *conn) removeWatches(nodePath string, kinds []watchKind) bool {
 	found := false
 	for _, kind := range kinds {
 		key := watchKey{kind, nodePath}
@@ -58,7 +58,7 @@
 			continue
 		}
 		for c := range m.conns {
-			if c.takeWatches(nodePath, kinds) {
+			if c.removeWatches(nodePath, kinds) {
 				c.sendEvent(nodePath, event)
 			}
 		}
@@ -75,7 +75,8 @@
 	c.send(frame)
 }
 
-// setWatches sets watches again after a reconnect. A change since the client's last zxid is an event at once.
+// setWatches sets watches again after a reconnect. If a node has changed since the client's last zxid, it sends the
+// event at once.
 func (c *conn) setWatches(r request) {
 	tree := c.tree()
 	for _, nodePath := range r.dataWatches {
