--- a/cmd/pinedale-simulate/agree.go
+++ b/cmd/pinedale-simulate/agree.go
@@ -14,16 +14,16 @@
 	"pinedale/internal/emulator/trace"
 )
 
-// maxScoreDifference is by how much G may differ between the hosts.
+// maxScoreDifference is by how much the score G of a scenario may differ between virtual time and sockets.
 const maxScoreDifference = 0.03
 
-// agreeCommand returns the command that compares the hosts.
+// agreeCommand returns the command that compares virtual time and sockets.
 func (c *commandLine) agreeCommand() *cobra.Command {
 	var seed uint64
 	agree := &cobra.Command{
 		Use:   "agree SCENARIO...",
-		Short: "play scenarios on both hosts, and say by how much they differ",
-		Args:  countArgs(cobra.MinimumNArgs(1)),
+		Short: "run scenarios on virtual time and on sockets, and print how much their scores differ",
+		Args:  withUsageError(cobra.MinimumNArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return c.agree(cmd.Context(), args, seed)
 		},
@@ -32,7 +32,7 @@
 	return agree
 }
 
-// hostComparison is a scenario and its results on both hosts.
+// hostComparison is a scenario and its results on virtual time and on sockets.
 type hostComparison struct {
 	name       string
 	planned    *plan.Scenario
@@ -41,18 +41,19 @@
 	socketsErr error
 }
 
-// agree plays each scenario on both hosts and prints the scores. It returns an error if they differ too much.
+// agree runs each scenario on virtual time and on sockets and prints the scores. It returns an error if the scores of
+// a scenario differ by more than maxScoreDifference.
 func (c *commandLine) agree(ctx context.Context, paths []string, seed uint64) error {
 	files, err := loadScenarios(paths)
 	if err != nil {
 		return err
 	}
-	comparisons, err := playOnBothHosts(ctx, files, seed)
+	comparisons, err := simulateOnBothHosts(ctx, files, seed)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(c.out, "%-18s %9s %9s %9s %12s %12s  %s\n",
-		"", "virtual", "sockets", "apart", "tries", "connections", "broken on sockets")
+		"", "virtual", "sockets", "apart", "tries", "connections", "rules broken on sockets")
 	disagreeing := 0
 	for _, comparison := range comparisons {
 		if comparison.socketsErr != nil {
@@ -64,35 +65,35 @@
 		}
 	}
 	if disagreeing > 0 {
-		return fmt.Errorf("%d of %d scenarios are more than %v apart",
+		return fmt.Errorf("scores of %d of %d scenarios differ by more than %v between virtual time and sockets",
 			disagreeing, len(comparisons), maxScoreDifference)
 	}
 	return nil
 }
 
-// playOnBothHosts plays scenarios one by one on virtual time, and then all at once on sockets.
-func playOnBothHosts(ctx context.Context, files []*scenario.File, seed uint64) ([]*hostComparison, error) {
+// simulateOnBothHosts runs scenarios one after the other on virtual time, and then all at once on sockets.
+func simulateOnBothHosts(ctx context.Context, files []*scenario.File, seed uint64) ([]*hostComparison, error) {
 	var comparisons []*hostComparison
 	for _, file := range files {
 		planned := file.Plan(seed)
-		virtual, err := playVirtual(ctx, planned, baselines.Module)
+		virtual, err := simulateVirtual(ctx, planned, baselines.Module)
 		if err != nil {
 			return nil, err
 		}
 		comparisons = append(comparisons, &hostComparison{name: file.Name, planned: planned, virtual: virtual})
 	}
-	var plays sync.WaitGroup
+	var runs sync.WaitGroup
 	for _, comparison := range comparisons {
-		plays.Go(func() {
-			options := playOptions{host: trace.Sockets, policy: baselines.Module}
-			comparison.sockets, comparison.socketsErr = play(ctx, comparison.planned, options)
+		runs.Go(func() {
+			options := simulateOptions{host: trace.Sockets, policy: baselines.Module}
+			comparison.sockets, comparison.socketsErr = simulate(ctx, comparison.planned, options)
 		})
 	}
-	plays.Wait()
+	runs.Wait()
 	return comparisons, nil
 }
 
-// printHostComparison prints the row of a scenario and returns by how much the score on sockets is higher.
+// printHostComparison prints the row of a scenario and returns the score on sockets minus that on virtual time.
 func (c *commandLine) printHostComparison(comparison *hostComparison) (difference float64) {
 	virtual := comparison.virtual
 	sockets := comparison.sockets
--- a/cmd/pinedale-simulate/commandline_test.go
+++ b/cmd/pinedale-simulate/commandline_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Command lines of releases that parsed them with package flag.
+// Flags with one dash were accepted by releases that parsed command lines with package flag, and must stay valid.
 func TestCommandLinesWithOneDashFlagsStillWork(t *testing.T) {
 	scenario := writeShortScenario(t, 200*time.Millisecond)
 	t.Chdir(t.TempDir())
 	mustExecute(t, "record", "-out", "recorded", scenario)
 	for _, c := range []struct{ args, want string }{
-		{"run SCENARIO", "calm, seed 1, pinedale, virtual: 200ms played"},
+		{"run SCENARIO", "calm, seed 1, pinedale, virtual: simulated 200ms in "},
 		{"run -seed 4 SCENARIO", "calm, seed 4, pinedale, virtual: "},
 		{"run -seed=4 SCENARIO", "seed 4,"},
 		{"run --seed 4 SCENARIO", "seed 4,"},
@@ -41,8 +41,8 @@
 		{"record -sockets -out -trace SCENARIO", "calm, seed 1, pinedale: "},
 		{"replay recorded", "are the same"},
 		{"replay -- -trace", "sockets"},
-		{"demo -length 1s", "in all: asked "},
-		{"demo -length=1s", "in all: asked "},
+		{"demo -length 1s", "total: asked "},
+		{"demo -length=1s", "total: asked "},
 	} {
 		args := strings.Fields(c.args)
 		for i, arg := range args {
@@ -61,11 +61,11 @@
 	}
 }
 
-// Their score may differ by more than the command allows: the play is too short.
+// The exit code is not checked: the run is too short for the scores to agree.
 func TestAgreePlaysOnBothHosts(t *testing.T) {
 	scenario := writeShortScenario(t, 500*time.Millisecond)
 	stdout, stderr, _ := execute("agree", "-seed", "4", scenario)
-	if !strings.Contains(stdout, "broken on sockets\ncalm ") {
+	if !strings.Contains(stdout, "rules broken on sockets\ncalm ") {
 		t.Errorf("printed %s%s", stdout, stderr)
 	}
 }
@@ -87,7 +87,7 @@
 
 func TestShellCompletionKnowsCommandsFlagsAndPolicies(t *testing.T) {
 	if text := mustExecute(t, "completion", "bash"); !strings.Contains(text, "__start_pinedale-simulate") {
-		t.Errorf("the script of bash: %s", text)
+		t.Errorf("the completion script for bash is %s", text)
 	}
 	for _, c := range []struct{ args, want string }{
 		{"__complete re", "record\t"},
--- a/cmd/pinedale-simulate/compare.go
+++ b/cmd/pinedale-simulate/compare.go
@@ -25,10 +25,10 @@
 	var options compareOptions
 	compare := &cobra.Command{
 		Use:   "compare SCENARIO [SCENARIO]",
-		Short: "play two scenarios, or one with two policies, on the same seeds, and say how they differ",
-		Long: `Play two scenarios, or one with two policies, on the same seeds, and say how they differ and how
-much is noise.`,
-		Args: countArgs(cobra.RangeArgs(1, 2)),
+		Short: "run two scenarios, or one with two policies, with the same seeds, and print how they differ",
+		Long: `Run two scenarios, or one with two policies, with the same seeds. Print how their results differ, and
+whether the differences are more than noise.`,
+		Args: withUsageError(cobra.RangeArgs(1, 2)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if options.seeds < 2 || options.seeds > maxSeeds {
 				return usageError()
@@ -37,56 +37,56 @@
 		},
 	}
 	addSeedsFlag(compare, &options.seeds)
-	addPolicyFlag(compare, &options.policy, "policy", baselines.Module, "`name` of the policy that decides")
+	addPolicyFlag(compare, &options.policy, "policy", baselines.Module, "`name` of the load balancing policy")
 	addPolicyFlag(compare, &options.against, "against", "",
-		"`name` of the second play's policy (default: that of the first)")
+		"`name` of the second run's policy (default: that of the first)")
 	return compare
 }
 
-// playVariant is one of the two things to compare: a scenario with a policy.
-type playVariant struct {
+// scenarioVariant is one of the two sides of a comparison: a scenario with a policy.
+type scenarioVariant struct {
 	file   *scenario.File
 	policy string
 }
 
-// playedScenario is a scenario and its result.
-type playedScenario struct {
+// scenarioRun is a scenario and its result.
+type scenarioRun struct {
 	planned *plan.Scenario
 	result  *plan.Result
 }
 
-// playedPair are the plays of both variants with the same seed.
-type playedPair [2]playedScenario
+// runPair holds the runs of both variants with the same seed.
+type runPair [2]scenarioRun
 
-// scoreMetric is a value of a play that is compared.
+// scoreMetric is a value of a run that is compared.
 type scoreMetric struct {
 	name  string
-	value func(playedScenario) float64
+	value func(scenarioRun) float64
 }
 
 // metrics are the rows that compare prints.
 var metrics = []scoreMetric{
-	{"G", func(played playedScenario) float64 {
-		return played.planned.Score(played.result)
+	{"G", func(run scenarioRun) float64 {
+		return run.planned.Score(run.result)
 	}},
-	{"in time", func(played playedScenario) float64 {
-		return played.result.InTime()
+	{"in time", func(run scenarioRun) float64 {
+		return run.result.InTime()
 	}},
-	{"in the worst 10 s", func(played playedScenario) float64 {
-		return played.planned.WorstWindow(played.result)
+	{"in the worst 10 s", func(run scenarioRun) float64 {
+		return run.planned.WorstWindow(run.result)
 	}},
-	{"of the worst class", func(played playedScenario) float64 {
-		return played.planned.WorstClass(played.result)
+	{"of the worst class", func(run scenarioRun) float64 {
+		return run.planned.WorstClass(run.result)
 	}},
 }
 
-// compare plays two variants on the same seeds and prints how they differ.
+// compare runs two variants with the same seeds and prints how they differ.
 func (c *commandLine) compare(ctx context.Context, paths []string, options compareOptions) error {
 	variants, err := loadVariants(paths, options)
 	if err != nil {
 		return err
 	}
-	pairs, err := c.playPairs(ctx, variants, options.seeds)
+	pairs, err := c.simulatePairs(ctx, variants, options.seeds)
 	if err != nil {
 		return err
 	}
@@ -98,33 +98,33 @@
 		fmt.Fprintln(c.out, compareMetric(metric, pairs))
 	}
 	first, second := countViolating(pairs)
-	fmt.Fprintf(c.out, "plays with a broken rule: %d and %d\n", first, second)
+	fmt.Fprintf(c.out, "runs that broke a rule: %d and %d\n", first, second)
 	return nil
 }
 
-// loadVariants loads the scenarios: two, or one for both policies.
-func loadVariants(paths []string, options compareOptions) (variants [2]playVariant, err error) {
+// loadVariants loads the two scenarios, or the one scenario that runs with both policies.
+func loadVariants(paths []string, options compareOptions) (variants [2]scenarioVariant, err error) {
 	files, err := loadScenarios(paths)
 	if err != nil {
 		return variants, err
 	}
-	variants[0] = playVariant{file: files[0], policy: options.policy}
-	variants[1] = playVariant{file: files[len(files)-1], policy: cmp.Or(options.against, options.policy)}
+	variants[0] = scenarioVariant{file: files[0], policy: options.policy}
+	variants[1] = scenarioVariant{file: files[len(files)-1], policy: cmp.Or(options.against, options.policy)}
 	return variants, nil
 }
 
-// playPairs plays both variants with each seed.
-func (c *commandLine) playPairs(ctx context.Context, variants [2]playVariant, seeds int) ([]playedPair, error) {
-	var pairs []playedPair
+// simulatePairs runs both variants with each seed.
+func (c *commandLine) simulatePairs(ctx context.Context, variants [2]scenarioVariant, seeds int) ([]runPair, error) {
+	var pairs []runPair
 	for seed := range seeds {
-		var pair playedPair
+		var pair runPair
 		for i, variant := range variants {
 			planned := variant.file.Plan(uint64(seed + 1))
-			result, err := playVirtual(ctx, planned, variant.policy)
+			result, err := simulateVirtual(ctx, planned, variant.policy)
 			if err != nil {
 				return nil, err
 			}
-			pair[i] = playedScenario{planned: planned, result: result}
+			pair[i] = scenarioRun{planned: planned, result: result}
 		}
 		pairs = append(pairs, pair)
 		c.countProgress(seed+1, seeds)
@@ -132,8 +132,8 @@
 	return pairs, nil
 }
 
-// countViolating returns how many plays of each variant broke a rule.
-func countViolating(pairs []playedPair) (first, second int) {
+// countViolating returns how many runs of each variant broke a rule.
+func countViolating(pairs []runPair) (first, second int) {
 	for _, pair := range pairs {
 		if pair[0].result.Violations() != "" {
 			first++
@@ -145,9 +145,9 @@
 	return first, second
 }
 
-// compareMetric returns the row of a metric: its mean of each variant, and the mean of the differences with their
-// standard error. A mean below twice its standard error may be chance.
-func compareMetric(metric scoreMetric, pairs []playedPair) string {
+// compareMetric returns the row of a metric: its mean for each variant, and the mean of the differences with its
+// standard error. A mean difference of less than twice its standard error may be due to chance.
+func compareMetric(metric scoreMetric, pairs []runPair) string {
 	var firstSum, secondSum, differenceSum, squareSum float64
 	for _, pair := range pairs {
 		first := metric.value(pair[0])
--- a/cmd/pinedale-simulate/demo.go
+++ b/cmd/pinedale-simulate/demo.go
@@ -17,7 +17,7 @@
 	"pinedale/internal/emulator/plan"
 )
 
-// demoConfig is the operator's file of the demo, with a verb for the address of discovery.
+// demoConfig is the configuration file of the demo's sidecar, with a verb for the address of discovery.
 const demoConfig = `version = 1
 name = "demo"
 site = "arusha"
@@ -46,7 +46,7 @@
 `
 
 const (
-	demoRate    = 60 // requests a second: about 60% of what the servers can do
+	demoRate    = 60 // requests a second: about 60% of the servers' capacity
 	demoServers = 5  // at the beginning
 
 	defaultDemoLength = 12 * time.Second
@@ -59,8 +59,8 @@
 	var length time.Duration
 	command := &cobra.Command{
 		Use:   "demo",
-		Short: "a small fleet, discovery, pinedale-proxy and clients on loopback sockets",
-		Args:  countArgs(cobra.NoArgs),
+		Short: "run a small fleet, discovery, pinedale-proxy and clients on loopback sockets",
+		Args:  withUsageError(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
 			if length < minDemoLength || length > maxDemoLength {
 				return usageError()
@@ -90,7 +90,7 @@
 	}
 	defer func() {
 		instance.Shutdown()
-		_ = instance.Wait() // its clients have counted what failed
+		_ = instance.Wait() // failed requests are counted by the clients
 	}()
 	if err := instance.WaitReady(); err != nil {
 		return err
@@ -99,7 +99,7 @@
 	defer clients.close()
 	fmt.Fprintf(out, "five servers, discovery and pinedale-proxy on %s; %d requests a second\n", instance.HTTP, demoRate)
 	d := &demo{out: out, fleet: fleet, clients: clients, length: length, failing: failing}
-	if err := d.play(); err != nil {
+	if err := d.run(); err != nil {
 		return err
 	}
 	d.printSummary()
@@ -124,13 +124,13 @@
 	failing model.Fault // of the first server
 
 	joined  bool          // whether the last server has been started
-	printed time.Duration // time up to which seconds are printed
+	printed time.Duration // end of the last second that was printed
 }
 
-// play sends requests at random times until the demo's end and returns when all have ended.
-func (d *demo) play() error {
+// run sends requests at random times until the demo's end and returns when all have ended.
+func (d *demo) run() error {
 	fmt.Fprintf(d.out, "%4s %6s %8s %6s %8s %7s %9s %9s  %s\n",
-		"s", "asked", "in time", "late", "refused", "failed", "median", "99th", "held by server")
+		"s", "asked", "in time", "late", "refused", "failed", "median", "99th", "in flight by server")
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -148,14 +148,14 @@
 	return nil
 }
 
-// advance starts the last server halfway, and prints a second that is over.
+// advance starts the last server at half the demo's length, and prints each second that has passed.
 func (d *demo) advance(elapsed time.Duration) error {
 	if !d.joined && elapsed >= d.length/2 {
 		d.joined = true
 		if err := d.fleet.startServer(true); err != nil {
 			return err
 		}
-		fmt.Fprintln(d.out, "     a sixth server has started, cold")
+		fmt.Fprintln(d.out, "     a sixth server has started, in slow start")
 	}
 	if elapsed < d.printed+time.Second {
 		return nil
@@ -163,12 +163,12 @@
 	d.printed += time.Second
 	d.printSecond()
 	if d.printed >= d.failing.From && d.printed < d.failing.From+time.Second {
-		fmt.Fprintln(d.out, "     soko-1 fails 90% of its requests at once from here on, for a while")
+		fmt.Fprintln(d.out, "     soko-1 now fails 90% of its requests immediately; it recovers later")
 	}
 	return nil
 }
 
-// printSecond prints the responses since the second before and what each server holds.
+// printSecond prints the responses since the last call and the number of requests in flight at each server.
 func (d *demo) printSecond() {
 	second := d.clients.takeSecond()
 	tally := second.Total()
@@ -185,6 +185,6 @@
 // printSummary prints the responses of the whole demo.
 func (d *demo) printSummary() {
 	tally := d.clients.totalTally()
-	fmt.Fprintf(d.out, "in all: asked %d, in time %d, late %d, refused %d, failed %d; effects done twice %d\n",
+	fmt.Fprintf(d.out, "total: asked %d, in time %d, late %d, refused %d, failed %d; duplicate effects %d\n",
 		tally.Requested, tally.InTime, tally.Late, tally.Rejected, tally.Failed, d.fleet.duplicateEffects())
 }
--- a/cmd/pinedale-simulate/demo_clients.go
+++ b/cmd/pinedale-simulate/demo_clients.go
@@ -17,8 +17,8 @@
 	demoClientTimeout    = 5 * time.Second
 	demoIdleConnections  = 100
 	demoRequestDeadline  = 1500 * time.Millisecond
-	demoLatencyObjective = 600 * time.Millisecond // as demoConfig has it
-	stallPayRatio        = 0.4                    // of the requests
+	demoLatencyObjective = 600 * time.Millisecond // the same as in demoConfig
+	stallPayRatio        = 0.4                    // of all requests
 )
 
 // Indices of demoClasses.
@@ -37,7 +37,7 @@
 	stallPay:   {name: "stall-pay", method: http.MethodPost, hasKey: true},
 }
 
-// drawClass returns the index of a class, drawn by the classes' ratios.
+// drawClass returns the index of a random class, with stallPayRatio of the requests in stallPay.
 func drawClass(random *rand.Rand) int {
 	if random.Float64() < stallPayRatio {
 		return stallPay
@@ -68,7 +68,7 @@
 	}
 }
 
-// newDemoSecond returns the counts of nothing.
+// newDemoSecond returns empty counts.
 func newDemoSecond() plan.Second {
 	return plan.Second{Classes: make([]plan.Tally, len(demoClasses))}
 }
@@ -87,7 +87,7 @@
 	countResponse(&c.total, class, status, latency)
 }
 
-// send sends a request and returns the status code of its response, 0 if there is none.
+// send sends a request and returns the status code of its response, or 0 if there is no response.
 func (c *demoClients) send(number, class int) (status int) {
 	request, err := http.NewRequest(demoClasses[class].method, c.url+"/"+demoClasses[class].name+"/x", nil)
 	if err != nil {
@@ -104,7 +104,7 @@
 		return 0
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // the status counts, not the body
+	_, _ = io.Copy(io.Discard, response.Body) // only the status is counted
 	return response.StatusCode
 }
 
@@ -125,7 +125,7 @@
 	second.ResponseMillis = append(second.ResponseMillis, float32(latency.Seconds()*1e3))
 }
 
-// takeSecond returns the counts since the call before.
+// takeSecond returns the counts since its last call.
 func (c *demoClients) takeSecond() plan.Second {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/pinedale-simulate/demo_fleet.go
+++ b/cmd/pinedale-simulate/demo_fleet.go
@@ -10,7 +10,7 @@
 	"pinedale/internal/standin/fakediscovery"
 )
 
-// Servers of the demo take turns at these.
+// The demo's servers use these in turn.
 var (
 	demoSpeeds = []float64{2, 1.2, 0.8}
 	demoSites  = []string{"arusha", "dar"}
@@ -18,7 +18,7 @@
 
 const (
 	demoCellSize    = 2
-	demoDedupWindow = 1500 * time.Millisecond // as demoConfig has it
+	demoDedupWindow = 1500 * time.Millisecond // the same as in demoConfig
 )
 
 // demoFleet is the demo's servers and the discovery that lists them.
@@ -60,7 +60,7 @@
 	f.directory.Close()
 }
 
-// startInitialServers starts the servers that are there from the beginning. The first one has a fault.
+// startInitialServers starts the servers that run from the beginning. The first one has a fault.
 func (f *demoFleet) startInitialServers(fault model.Fault) error {
 	if err := f.startServer(false, fault); err != nil {
 		return err
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// startServer starts a server, in slow start or warm, and adds it to discovery's list.
+// startServer starts a server, in slow start or at its full capacity, and adds it to discovery's list.
 func (f *demoFleet) startServer(slowStart bool, faults ...model.Fault) error {
 	index := len(f.servers)
 	cell := index / demoCellSize
@@ -96,7 +96,7 @@
 	if slowStart {
 		host.StartedMS = time.Now().UnixMilli()
 	}
-	f.list(host)
+	f.addHost(host)
 	return nil
 }
 
@@ -119,8 +119,8 @@
 	}
 }
 
-// list adds a host to discovery's list.
-func (f *demoFleet) list(host fakediscovery.Host) {
+// addHost adds a host to discovery's list.
+func (f *demoFleet) addHost(host fakediscovery.Host) {
 	f.hosts = append(f.hosts, host)
 	f.directory.Change(func() {
 		f.directory.List = fakediscovery.Document{
@@ -131,11 +131,11 @@
 	})
 }
 
-// serverStates returns what each server holds, and whether it is down or still in slow start.
+// serverStates returns the number of requests in flight at each server, and whether it is down or in slow start.
 func (f *demoFleet) serverStates() []string {
 	var states []string
 	for _, server := range f.servers {
-		inFlight, _, warmth, down := server.Figures()
+		inFlight, _, warmth, down := server.Stats()
 		switch {
 		case down:
 			states = append(states, "down")
@@ -148,5 +148,5 @@
 	return states
 }
 
-// duplicateEffects returns the number of effects that were done twice and must not be.
+// duplicateEffects returns the number of effects that happened more than once though their class is not idempotent.
 func (f *demoFleet) duplicateEffects() int { return len(f.emulated.DuplicateEffects()) }
--- a/cmd/pinedale-simulate/main.go
+++ b/cmd/pinedale-simulate/main.go
@@ -1,5 +1,5 @@
-// Command pinedale-simulate plays scenarios of bad market mornings: the real engine and decision module against
-// emulated servers, on virtual time or on loopback sockets.
+// Command pinedale-simulate runs scenarios of load and faults: the real engine and decision module against emulated
+// servers, on virtual time or on loopback sockets.
 package main
 
 import (
--- a/cmd/pinedale-simulate/main_test.go
+++ b/cmd/pinedale-simulate/main_test.go
@@ -13,7 +13,7 @@
 	"pinedale/internal/cli"
 )
 
-// The scenarios that the tests play.
+// The scenarios that the tests run.
 const (
 	calmScenario           = "../../scenarios/calm.toml"
 	failingFastScenario    = "../../scenarios/failing-fast.toml"
@@ -37,7 +37,7 @@
 	return stdout
 }
 
-// writeShortScenario writes the calm scenario with another length into a folder of the test and returns its path.
+// writeShortScenario writes the calm scenario with another length to a temporary folder and returns its path.
 func writeShortScenario(t *testing.T, length time.Duration) string {
 	t.Helper()
 	text, err := os.ReadFile(calmScenario)
@@ -62,7 +62,7 @@
 		t.Errorf("printed %s", text)
 	}
 	if data, err := os.ReadFile(page); err != nil || !bytes.Contains(data, []byte("<svg")) {
-		t.Errorf("the page: %v", err)
+		t.Errorf("the HTML report has no plot, or reading it failed: %v", err)
 	}
 }
 
@@ -81,7 +81,7 @@
 }
 
 func TestInvalidCommandLinesExitWithOne(t *testing.T) {
-	const usageText = "see how it is used\nusage: pinedale-simulate demo [-length 12s]\n"
+	const usageText = "invalid command line\nusage: pinedale-simulate demo [-length 12s]\n"
 	for _, c := range []struct {
 		args []string
 		want string // in the error
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	if repeated, _ := os.ReadFile(second); !bytes.Equal(content, repeated) {
-		t.Error("the second record differs")
+		t.Error("two recordings of the same scenario and seed differ")
 	}
 	if text := mustExecute(t, "replay", first); !strings.Contains(text, "are the same") {
 		t.Errorf("printed %s", text)
@@ -169,7 +169,7 @@
 
 func TestRunOnSocketsTakesAsLongAsTheScenario(t *testing.T) {
 	scenario := writeShortScenario(t, 1500*time.Millisecond)
-	if text := mustExecute(t, "run", "-sockets", scenario); !strings.Contains(text, "sockets: 1.5s played") {
+	if text := mustExecute(t, "run", "-sockets", scenario); !strings.Contains(text, "sockets: simulated 1.5s in ") {
 		t.Errorf("printed %s", text)
 	}
 }
@@ -183,7 +183,7 @@
 
 func TestDemoEndsByItselfWithSummaryAndBreaksNoRule(t *testing.T) {
 	text := mustExecute(t, "demo", "-length", "2s")
-	if !strings.Contains(text, "in all: asked") || !strings.Contains(text, "effects done twice 0") {
+	if !strings.Contains(text, "total: asked") || !strings.Contains(text, "duplicate effects 0") {
 		t.Errorf("printed %s", text)
 	}
 }
--- a/cmd/pinedale-simulate/play.go
+++ b/cmd/pinedale-simulate/play.go
@@ -16,7 +16,7 @@
 	"pinedale/internal/emulator/trace"
 )
 
-// loadScenario reads a scenario file. It returns its text, too.
+// loadScenario reads a scenario file and returns its parsed form and its text.
 func loadScenario(path string) (file *scenario.File, text string, err error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -42,11 +42,11 @@
 	return files, nil
 }
 
-// playOptions select how a scenario is played.
-type playOptions struct {
+// simulateOptions select how a scenario is run.
+type simulateOptions struct {
 	host     string            // trace.Virtual or trace.Sockets
 	policy   string            // one of baselines.Names
-	watch    func(trace.Event) // gets each event; may be nil
+	watch    func(trace.Event) // called with each event of the trace; may be nil
 	progress progressFunc      // may be nil
 }
 
@@ -58,9 +58,9 @@
 	return trace.Virtual
 }
 
-// play plays a scenario.
-func play(ctx context.Context, planned *plan.Scenario, options playOptions) (*plan.Result, error) {
-	decide, err := baselines.Named(options.policy, planned.Weights)
+// simulate runs a scenario.
+func simulate(ctx context.Context, planned *plan.Scenario, options simulateOptions) (*plan.Result, error) {
+	newDecider, err := baselines.Named(options.policy, planned.Weights)
 	if err != nil {
 		return nil, err
 	}
@@ -70,32 +70,32 @@
 	}
 	if options.host == trace.Sockets {
 		return realtime.Run(ctx, planned, realtime.Options{
-			NewDecider: decide,
+			NewDecider: newDecider,
 			OnEvent:    options.watch,
 			OnProgress: progress,
 		})
 	}
 	return simulation.Run(planned, simulation.Options{
-		NewDecider: decide,
+		NewDecider: newDecider,
 		OnEvent:    options.watch,
 		OnProgress: progress,
 	})
 }
 
-// playVirtual plays a scenario on virtual time with a policy.
-func playVirtual(ctx context.Context, planned *plan.Scenario, policy string) (*plan.Result, error) {
-	return play(ctx, planned, playOptions{host: trace.Virtual, policy: policy})
+// simulateVirtual runs a scenario on virtual time with a policy.
+func simulateVirtual(ctx context.Context, planned *plan.Scenario, policy string) (*plan.Result, error) {
+	return simulate(ctx, planned, simulateOptions{host: trace.Virtual, policy: policy})
 }
 
-// checkRules returns an error if a play broke a rule.
+// checkRules returns an error if a run broke a rule.
 func checkRules(result *plan.Result) error {
 	if violations := result.Violations(); violations != "" {
-		return errors.New("a rule was broken: " + violations)
+		return errors.New("the run broke a rule: " + violations)
 	}
 	return nil
 }
 
-// createFile creates a file with what write writes to it.
+// createFile creates a file with the content that write writes.
 func createFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/cmd/pinedale-simulate/progress.go
+++ b/cmd/pinedale-simulate/progress.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// progressInterval is the shortest time between two lines of progress.
+// progressInterval is the shortest time between two updates of the progress line.
 const progressInterval = 100 * time.Millisecond
 
-// progressFunc reports how much of a play is done.
+// progressFunc reports how much of a run is done.
 type progressFunc func(done, total time.Duration)
 
 // terminalProgress returns a function that writes progress to a terminal in one line, which it clears at the end. It
@@ -31,7 +31,7 @@
 	}
 }
 
-// countProgress reports progress in units that are no time, one as a second.
+// countProgress reports progress in units other than time. It counts each unit as a second.
 func (c *commandLine) countProgress(done, total int) {
 	c.progress(time.Duration(done)*time.Second, time.Duration(total)*time.Second)
 }
--- a/cmd/pinedale-simulate/rank.go
+++ b/cmd/pinedale-simulate/rank.go
@@ -15,8 +15,8 @@
 	var seeds int
 	rank := &cobra.Command{
 		Use:   "rank SCENARIO...",
-		Short: "play scenarios with each policy, and set their G side by side",
-		Args:  countArgs(cobra.MinimumNArgs(1)),
+		Short: "run scenarios with each policy, and print a table of their mean scores G",
+		Args:  withUsageError(cobra.MinimumNArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if seeds < 1 || seeds > maxSeeds {
 				return usageError()
@@ -28,7 +28,7 @@
 	return rank
 }
 
-// rank prints for each scenario and policy the mean of G over the seeds, and in how many plays a rule was broken.
+// rank prints for each scenario and policy the mean of G over the seeds, and the number of runs that broke a rule.
 func (c *commandLine) rank(ctx context.Context, paths []string, seeds int) error {
 	fmt.Fprintf(c.out, "%-18s", fmt.Sprintf("G over %d seeds", seeds))
 	for _, policy := range baselines.Names() {
@@ -54,14 +54,14 @@
 	return nil
 }
 
-// meanScore returns the mean of G of a scenario over the seeds, and the number of plays that broke a rule.
+// meanScore returns the mean of G of a scenario over the seeds, and the number of runs that broke a rule.
 func meanScore(
 	ctx context.Context, file *scenario.File, policy string, seeds int,
 ) (mean float64, violating int, err error) {
 	sum := 0.0
 	for seed := range seeds {
 		planned := file.Plan(uint64(seed + 1))
-		result, err := playVirtual(ctx, planned, policy)
+		result, err := simulateVirtual(ctx, planned, policy)
 		if err != nil {
 			return 0, 0, err
 		}
--- a/cmd/pinedale-simulate/record.go
+++ b/cmd/pinedale-simulate/record.go
@@ -20,13 +20,13 @@
 	traceFile string
 }
 
-// recordCommand returns the command that plays a scenario and writes its trace.
+// recordCommand returns the command that runs a scenario and writes its trace.
 func (c *commandLine) recordCommand() *cobra.Command {
 	var options recordOptions
 	record := &cobra.Command{
 		Use:   "record SCENARIO",
-		Short: "write what is asked, decided and answered as a trace",
-		Args:  countArgs(cobra.ExactArgs(1)),
+		Short: "run a scenario and write its requests, decisions and responses as a trace",
+		Args:  withUsageError(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if options.traceFile == "" {
 				return usageError()
@@ -35,13 +35,13 @@
 		},
 	}
 	addSeedFlag(record, &options.seed)
-	addPolicyFlag(record, &options.policy, "policy", baselines.Module, "`name` of the policy that decides")
+	addPolicyFlag(record, &options.policy, "policy", baselines.Module, "`name` of the load balancing policy")
 	addSocketsFlag(record, &options.onSockets)
-	record.Flags().StringVar(&options.traceFile, "out", "", "`file` for the trace")
+	record.Flags().StringVar(&options.traceFile, "out", "", "write the trace to this `file`")
 	return record
 }
 
-// record plays a scenario and writes its trace. It returns an error if a rule was broken.
+// record runs a scenario and writes its trace. It returns an error if the run broke a rule.
 func (c *commandLine) record(ctx context.Context, path string, options recordOptions) error {
 	file, text, err := loadScenario(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 	var result *plan.Result
 	events := 0
 	err = createFile(options.traceFile, func(out io.Writer) (err error) {
-		result, events, err = c.playToTrace(ctx, planned, header, out)
+		result, events, err = c.recordTrace(ctx, planned, header, out)
 		return err
 	})
 	if err != nil {
@@ -68,12 +68,13 @@
 	return checkRules(result)
 }
 
-// playToTrace plays a scenario as the header says and writes its trace. It returns the number of events, too.
-func (c *commandLine) playToTrace(
+// recordTrace runs a scenario with the host and policy of the header and writes its trace. It returns the result and
+// the number of events.
+func (c *commandLine) recordTrace(
 	ctx context.Context, planned *plan.Scenario, header trace.Header, out io.Writer,
 ) (result *plan.Result, events int, err error) {
 	writer := trace.NewWriter(out, header)
-	result, err = play(ctx, planned, playOptions{
+	result, err = simulate(ctx, planned, simulateOptions{
 		host:   header.Host,
 		policy: header.Policy,
 		watch: func(event trace.Event) {
--- a/cmd/pinedale-simulate/replay.go
+++ b/cmd/pinedale-simulate/replay.go
@@ -15,19 +15,19 @@
 	"pinedale/internal/emulator/trace"
 )
 
-// replayCommand returns the command that plays the scenario of a trace again.
+// replayCommand returns the command that runs the scenario of a trace again.
 func (c *commandLine) replayCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "replay FILE",
-		Short: "play a trace again on virtual time, and name the first event that differs",
-		Long: `Play a trace again on virtual time, and name the first event that differs; of one from sockets, how the counts
-differ.`,
-		Args: countArgs(cobra.ExactArgs(1)),
+		Short: "run the scenario of a trace on virtual time, and print the first event that differs",
+		Long: `Run the scenario of a trace on virtual time, and print the first event that differs. For a trace from sockets,
+print the event counts of both runs.`,
+		Args: withUsageError(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error { return c.replay(cmd.Context(), args[0]) },
 	}
 }
 
-// recording is a trace that is played again.
+// recording is a trace whose scenario is run again.
 type recording struct {
 	path    string
 	reader  *trace.Reader
@@ -35,7 +35,7 @@
 	planned *plan.Scenario
 }
 
-// replay plays the scenario of a trace again and compares both plays.
+// replay runs the scenario of a trace again and compares both runs.
 func (c *commandLine) replay(ctx context.Context, path string) error {
 	in, err := os.Open(path)
 	if err != nil {
@@ -70,11 +70,11 @@
 	}, nil
 }
 
-// play plays the scenario on virtual time with the policy of the trace.
-func (r *recording) play(
+// simulate runs the scenario on virtual time with the policy of the trace.
+func (r *recording) simulate(
 	ctx context.Context, watch func(trace.Event), progress progressFunc,
 ) (*plan.Result, error) {
-	return play(ctx, r.planned, playOptions{
+	return simulate(ctx, r.planned, simulateOptions{
 		host:     trace.Virtual,
 		policy:   r.reader.Header.Policy,
 		watch:    watch,
@@ -87,10 +87,10 @@
 	return fmt.Sprintf("%s, seed %d, %s", r.file.Name, r.planned.Seed, r.reader.Header.Policy)
 }
 
-// compareEvents plays a trace again and compares both plays event by event.
+// compareEvents runs the scenario of a trace again and compares both runs event by event.
 func (c *commandLine) compareEvents(ctx context.Context, recorded *recording) error {
 	comparison := &eventComparison{recorded: recorded.reader, out: c.out}
-	result, err := recorded.play(ctx, comparison.watch, c.progress)
+	result, err := recorded.simulate(ctx, comparison.watch, c.progress)
 	if err == nil {
 		err = comparison.finish()
 	}
@@ -98,24 +98,24 @@
 		return fmt.Errorf("%s: %w", recorded.path, err)
 	}
 	if comparison.differs {
-		return errors.New("it plays otherwise")
+		return errors.New("the replay does not match the trace")
 	}
 	fmt.Fprintf(c.out, "%s: all %d events are the same, G %.3f\n",
 		recorded.title(), comparison.equal, recorded.planned.Score(result))
 	return nil
 }
 
-// eventComparison compares the events of a play with those of a trace, up to the first that differs, which it prints.
+// eventComparison compares the events of a run with those of a trace, up to the first that differs, which it prints.
 type eventComparison struct {
 	recorded *trace.Reader
 	out      io.Writer
 
-	equal   int   // events that are the same
-	differs bool  // whether one differs
+	equal   int   // events that are equal
+	differs bool  // a different event was found
 	err     error // of reading the trace
 }
 
-// watch compares the next event of the play.
+// watch compares the next event of the run.
 func (c *eventComparison) watch(event trace.Event) {
 	if c.differs || c.err != nil {
 		return
@@ -124,18 +124,18 @@
 	switch {
 	case errors.Is(err, io.EOF):
 		c.differs = true
-		fmt.Fprintf(c.out, "the trace ends after %d events; now there is one more: %+v\n", c.equal, event)
+		fmt.Fprintf(c.out, "the trace ends after %d events, but the replay continues with %+v\n", c.equal, event)
 	case err != nil:
 		c.err = err
 	case recorded != event:
 		c.differs = true
-		fmt.Fprintf(c.out, "line %d differs:\n  then %+v\n  now  %+v\n", c.recorded.Line(), recorded, event)
+		fmt.Fprintf(c.out, "line %d differs:\n  recorded %+v\n  replayed %+v\n", c.recorded.Line(), recorded, event)
 	default:
 		c.equal++
 	}
 }
 
-// finish ends the comparison after the last event of the play. It returns an error if the trace could not be read.
+// finish ends the comparison after the last event of the run. It returns an error if the trace could not be read.
 func (c *eventComparison) finish() error {
 	if c.differs || c.err != nil {
 		return c.err
@@ -148,19 +148,19 @@
 		return err
 	}
 	c.differs = true
-	fmt.Fprintf(c.out, "the trace goes on after %d events, with %+v\n", c.equal, recorded)
+	fmt.Fprintf(c.out, "the replay ends after %d events, but the trace continues with %+v\n", c.equal, recorded)
 	return nil
 }
 
-// compareEventCounts plays a trace from sockets on virtual time and prints the number of events of both. The trace has
-// real times: no single event can be compared.
+// compareEventCounts runs the scenario of a trace from sockets on virtual time and prints the event counts of both. The
+// events themselves cannot be compared, since the trace was recorded in real time.
 func (c *commandLine) compareEventCounts(ctx context.Context, recorded *recording) error {
 	sockets, err := countRecorded(recorded.reader)
 	if err != nil {
 		return fmt.Errorf("%s: %w", recorded.path, err)
 	}
 	var virtual eventCounts
-	if _, err := recorded.play(ctx, virtual.add, c.progress); err != nil {
+	if _, err := recorded.simulate(ctx, virtual.add, c.progress); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.out, "%s\n%-16s %9s %9s\n", recorded.title(), "", "sockets", "virtual")
@@ -172,9 +172,9 @@
 		{"answered 200", sockets.served, virtual.served},
 		{"answered 503", sockets.rejected, virtual.rejected},
 		{"other answers", sockets.otherResponses, virtual.otherResponses},
-		{"clients gone", sockets.disconnected, virtual.disconnected},
+		{"client aborts", sockets.disconnected, virtual.disconnected},
 		{"attempts", sockets.attempts, virtual.attempts},
-		{"servers fallen", sockets.collapses, virtual.collapses},
+		{"server collapses", sockets.collapses, virtual.collapses},
 	}
 	for _, row := range rows {
 		fmt.Fprintf(c.out, "%-16s %9d %9d\n", row.name, row.sockets, row.virtual)
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// eventCounts are the numbers of events of a play by their kind.
+// eventCounts holds the number of events of a run by their kind.
 type eventCounts struct {
 	requests       int
 	served         int
--- a/cmd/pinedale-simulate/root.go
+++ b/cmd/pinedale-simulate/root.go
@@ -12,12 +12,12 @@
 )
 
 // description is printed by help. The names of the policies follow it.
-const description = `Play scenarios of bad market mornings: the real engine and decision module against emulated
-servers, on virtual time or on loopback sockets.
+const description = `Run scenarios of load and faults: the real engine and decision module against emulated servers, on
+virtual time or on loopback sockets.
 
 Policies: `
 
-// usage ends the error of a command line that the program does not take. The names of the policies follow it.
+// usage ends the error of an invalid command line. The names of the policies follow it.
 const usage = `usage: pinedale-simulate demo [-length 12s]
        pinedale-simulate run [-seed N] [-policy NAME] [-sockets] [-html FILE] SCENARIO
        pinedale-simulate compare [-seeds N] [-policy NAME] [-against NAME] SCENARIO [SCENARIO]
@@ -26,15 +26,16 @@
        pinedale-simulate agree [-seed N] SCENARIO...
        pinedale-simulate rank [-seeds N] SCENARIO...
 
-  demo     a small fleet, discovery, pinedale-proxy and clients on loopback sockets
-  run      play a scenario, on virtual time or sockets, and say what came of it
-  compare  play two scenarios, or one with two policies, on the same seeds, and say how
-           they differ and how much is noise
-  record   write what is asked, decided and answered as a trace
-  replay   play a trace again on virtual time, and name the first event that differs; of
-           one from sockets, how the counts differ
-  agree    play scenarios on both hosts, and say by how much they differ
-  rank     play scenarios with each policy, and set their G side by side
+  demo     run a small fleet, discovery, pinedale-proxy and clients on loopback sockets
+  run      run a scenario on virtual time or sockets, and print its result
+  compare  run two scenarios, or one with two policies, with the same seeds, and print
+           how they differ and whether the differences are more than noise
+  record   run a scenario and write its requests, decisions and responses as a trace
+  replay   run the scenario of a trace on virtual time, and print the first event that
+           differs; for a trace from sockets, print the event counts of both runs
+  agree    run scenarios on virtual time and on sockets, and print how much their scores
+           differ
+  rank     run scenarios with each policy, and print a table of their mean scores G
 
 policies: `
 
@@ -52,7 +53,7 @@
 // rootCommand returns the command line of the program.
 func rootCommand(out io.Writer, progress progressFunc) *cobra.Command {
 	c := &commandLine{out: out, progress: progress}
-	root := cli.NewRoot("pinedale-simulate", "play scenarios of bad market mornings", out)
+	root := cli.NewRoot("pinedale-simulate", "run scenarios of load and faults against emulated servers", out)
 	root.Long = description + policyNames()
 	root.Args = cobra.ArbitraryArgs
 	root.RunE = func(*cobra.Command, []string) error { return usageError() }
@@ -71,9 +72,9 @@
 	return root
 }
 
-// usageError returns the error of a command line that the program does not take.
+// usageError returns the error of an invalid command line.
 func usageError() error {
-	return errors.New("see how it is used\n" + usage + policyNames())
+	return errors.New("invalid command line\n" + usage + policyNames())
 }
 
 // policyNames returns the names of all policies in one line.
@@ -81,8 +82,8 @@
 	return strings.Join(baselines.Names(), ", ")
 }
 
-// countArgs returns a check of the number of arguments that fails with the usage.
-func countArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
+// withUsageError returns a check of the arguments that fails with usageError in place of check's error.
+func withUsageError(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if check(cmd, args) != nil {
 			return usageError()
@@ -91,14 +92,14 @@
 	}
 }
 
-// addSeedFlag adds the flag for the seed of a single play.
+// addSeedFlag adds the flag for the seed of a single run.
 func addSeedFlag(command *cobra.Command, seed *uint64) {
-	command.Flags().Uint64Var(seed, "seed", 0, "seed of the play (0 for the scenario's)")
+	command.Flags().Uint64Var(seed, "seed", 0, "seed of the run (0 for the scenario's)")
 }
 
 // addSeedsFlag adds the flag for the number of seeds of a comparison.
 func addSeedsFlag(command *cobra.Command, seeds *int) {
-	command.Flags().IntVar(seeds, "seeds", defaultSeeds, "number of seeds to play, from 1 on")
+	command.Flags().IntVar(seeds, "seeds", defaultSeeds, "number of seeds to run, starting with seed 1")
 }
 
 // addPolicyFlag adds a flag for the name of a policy.
@@ -106,11 +107,11 @@
 	command.Flags().StringVar(policy, name, value, description)
 	completion := cobra.FixedCompletions(baselines.Names(), cobra.ShellCompDirectiveNoFileComp)
 	if err := command.RegisterFlagCompletionFunc(name, completion); err != nil {
-		panic(err) // the flag is there, and has no other completion
+		panic(err) // cannot happen: the flag exists and has no other completion
 	}
 }
 
-// addSocketsFlag adds the flag for the host of a play.
+// addSocketsFlag adds the flag that selects loopback sockets in place of virtual time.
 func addSocketsFlag(command *cobra.Command, onSockets *bool) {
-	command.Flags().BoolVar(onSockets, "sockets", false, "play on loopback sockets, in real time")
+	command.Flags().BoolVar(onSockets, "sockets", false, "run on loopback sockets in real time")
 }
--- a/cmd/pinedale-simulate/run.go
+++ b/cmd/pinedale-simulate/run.go
@@ -19,25 +19,25 @@
 	html      string // path of the report, or ""
 }
 
-// runCommand returns the command that plays a scenario and prints its result.
+// runCommand returns the command that runs a scenario and prints its result.
 func (c *commandLine) runCommand() *cobra.Command {
 	var options runOptions
 	run := &cobra.Command{
 		Use:   "run SCENARIO",
-		Short: "play a scenario, on virtual time or sockets, and say what came of it",
-		Args:  countArgs(cobra.ExactArgs(1)),
+		Short: "run a scenario on virtual time or sockets, and print its result",
+		Args:  withUsageError(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return c.run(cmd.Context(), args[0], options)
 		},
 	}
 	addSeedFlag(run, &options.seed)
-	addPolicyFlag(run, &options.policy, "policy", baselines.Module, "`name` of the policy that decides")
+	addPolicyFlag(run, &options.policy, "policy", baselines.Module, "`name` of the load balancing policy")
 	addSocketsFlag(run, &options.onSockets)
-	run.Flags().StringVar(&options.html, "html", "", "`file` for a report")
+	run.Flags().StringVar(&options.html, "html", "", "write an HTML report to this `file`")
 	return run
 }
 
-// run plays a scenario and prints its result. It returns an error if a rule was broken.
+// run runs a scenario and prints its result. It returns an error if the run broke a rule.
 func (c *commandLine) run(ctx context.Context, path string, options runOptions) error {
 	file, _, err := loadScenario(path)
 	if err != nil {
@@ -46,12 +46,12 @@
 	planned := file.Plan(options.seed)
 	host := hostName(options.onSockets)
 	start := time.Now()
-	result, err := play(ctx, planned, playOptions{host: host, policy: options.policy, progress: c.progress})
+	result, err := simulate(ctx, planned, simulateOptions{host: host, policy: options.policy, progress: c.progress})
 	if err != nil {
 		return err
 	}
 	elapsed := time.Since(start).Round(time.Millisecond)
-	fmt.Fprintf(c.out, "%s, seed %d, %s, %s: %v played in %v\n",
+	fmt.Fprintf(c.out, "%s, seed %d, %s, %s: simulated %v in %v\n",
 		file.Name, planned.Seed, options.policy, host, planned.Length, elapsed)
 	file.WriteText(c.out, planned, result)
 	if options.html != "" {
--- a/internal/emulator/simulation/call.go
+++ b/internal/emulator/simulation/call.go
@@ -8,8 +8,8 @@
 	"pinedale/internal/upstream/handshake"
 )
 
-// maxHandshakeWait bounds how long a request waits for the handshake budget: half of the time that a handshake may
-// take, as in pinedale-proxy with its defaults.
+// maxHandshakeWait bounds how long a request waits for the handshake budget. It is half of the default handshake
+// timeout of pinedale-proxy, which uses the same bound.
 const maxHandshakeWait = 250 * time.Millisecond
 
 // call is one attempt or probe between an instance and a server.
@@ -22,10 +22,10 @@
 	deadline  Time
 	number    uint64 // of the attempt; 0 for a probe
 	probe     bool
-	written   bool                // the request was written to a connection
-	finished  bool                // the instance has the result
-	onArrival func()              // runs at the server
-	onResult  func(engine.Result) // runs at the instance
+	written   bool                // the request has been written to a connection
+	finished  bool                // the instance has received the result
+	onArrival func()              // runs when the request arrives at the server
+	onResult  func(engine.Result) // runs when the result arrives at the instance
 }
 
 // latency returns the one-way latency between the instance and the server.
@@ -52,7 +52,7 @@
 	}
 }
 
-// openWithinBudget opens a connection when the handshake budget permits it, and fails if that takes too long.
+// openWithinBudget opens a connection when the handshake budget permits it. It fails if the wait would be too long.
 func (c *call) openWithinBudget() {
 	sim := c.instance.simulator
 	priority := handshake.Request
@@ -69,7 +69,7 @@
 	sim.after(begin.Sub(sim.Now()), c.open)
 }
 
-// open opens a connection and writes the request to it, after a round trip.
+// open opens a connection and then writes the request. The handshake takes a round trip.
 func (c *call) open() {
 	if c.finished { // aborted before the handshake
 		return
@@ -83,8 +83,8 @@
 	c.conn = c.server.accept()
 	failure := balancer.ConnectFailed
 	if c.server.running() {
-		// A running server that does not accept has reached its connection limit. The connection opens and is closed at
-		// once, which the instance notices only after it has written the request.
+		// A running server that does not accept has reached its connection limit. It closes the connection as soon as
+		// the handshake is done, which the instance notices only after it has written the request.
 		failure = balancer.Reset
 	}
 	if c.conn != nil {
@@ -120,7 +120,7 @@
 	})
 }
 
-// abort ends the call with a status. What the server has received continues.
+// abort ends the call with a status. A request that has been written is still processed by the server.
 func (c *call) abort(status balancer.Status) {
 	if !c.written {
 		status = balancer.NotSent
--- a/internal/emulator/simulation/client.go
+++ b/internal/emulator/simulation/client.go
@@ -130,8 +130,9 @@
 	sim.result.RecordOutcome(sim.scenario, request, code, sim.now)
 }
 
-// mayHaveRun reports whether a killed instance leaves open whether and when the request ran. Clients then retry only
-// idempotent requests: a server may have forgotten the idempotency key by the time of a retry.
+// mayHaveRun reports whether a request that is not idempotent may have run, or may run later, after its instance was
+// killed. Clients don't retry such a request even if it has an idempotency key: the server may have evicted the key by
+// the time of a retry.
 func (a *clientAttempt) mayHaveRun() bool {
 	class := &a.simulator.scenario.Classes[a.request.Class]
 	return a.instance.killed && class.Idempotency != balancer.Idempotent
--- a/internal/emulator/simulation/clock.go
+++ b/internal/emulator/simulation/clock.go
@@ -35,7 +35,7 @@
 	return last
 }
 
-// epoch is the wall clock time at the start of every run. It differs from the time of the machine that simulates.
+// epoch is the wall clock time at the start of every run. It is constant, so that results do not depend on real time.
 var epoch = time.Unix(1_000_000_000, 0)
 
 // Now returns virtual time as the clock of the engines.
@@ -44,7 +44,7 @@
 // AfterFunc schedules an action as the clock of the engines.
 func (sim *simulator) AfterFunc(delay time.Duration, action func()) { sim.after(delay, action) }
 
-// after schedules an action; a negative delay counts as none.
+// after schedules an action. A negative delay counts as 0.
 func (sim *simulator) after(delay time.Duration, action func()) {
 	sim.sequence++
 	heap.Push(&sim.queue, event{at: sim.now + max(0, delay), sequence: sim.sequence, action: action})
--- a/internal/emulator/simulation/connection.go
+++ b/internal/emulator/simulation/connection.go
@@ -17,7 +17,7 @@
 	machine        *model.Server // the process that accepted the connection
 	openedAt       Time
 	idleSince      Time
-	spreadPosition float64 // 0 to 1: when within a key rotation the connection is replaced
+	spreadPosition float64 // from 0 to 1: the point within a key rotation at which the connection is replaced
 }
 
 // reusable reports whether an idle connection may carry another request.
@@ -66,8 +66,8 @@
 	}
 }
 
-// takeIdle returns the connection to a target that was used last, nil if there is none to reuse. It closes the
-// unusable ones that it finds.
+// takeIdle returns the most recently used idle connection to a target, or nil if none is reusable. It closes the
+// unusable connections that it finds on the way.
 func (n *instance) takeIdle(target *engine.Target) *connection {
 	for len(n.idleConnections[target]) > 0 {
 		idle := n.idleConnections[target]
@@ -88,7 +88,7 @@
 	n.idleConnections[target] = append(n.idleConnections[target], conn)
 }
 
-// closeConnection closes a connection. Its server learns of it after the one-way latency.
+// closeConnection closes a connection. The server notices it after the one-way latency.
 func (n *instance) closeConnection(conn *connection) {
 	n.simulator.openConnections--
 	latency := n.simulator.scenario.Latency(n.site, conn.server.spec.Site)
--- a/internal/emulator/simulation/connection_test.go
+++ b/internal/emulator/simulation/connection_test.go
@@ -10,7 +10,7 @@
 	"pinedale/internal/engine"
 )
 
-// startSimulator returns a simulator of the small fleet at the start of its run.
+// startSimulator returns a simulator of a scenario at the start of its run.
 func startSimulator(t *testing.T, s *plan.Scenario) *simulator {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -87,7 +87,7 @@
 	}
 }
 
-// A new instance gets the list that the others have at that time, which is as old as its notifications.
+// The endpoint list of a new instance is delayed as much as its notifications, as for the other instances.
 func TestNewInstanceGetsDelayedList(t *testing.T) {
 	s := smallFleet(1)
 	s.Servers[0].Incarnations = append(drainAndEnd(5*time.Second, 9*time.Second), joinAt(12*time.Second))
--- a/internal/emulator/simulation/faults_test.go
+++ b/internal/emulator/simulation/faults_test.go
@@ -12,7 +12,7 @@
 	"pinedale/internal/emulator/trace"
 )
 
-// A fifth of the servers fails most requests at once and looks healthy otherwise.
+// A fifth of the servers fails most requests immediately and looks healthy otherwise.
 func TestServersFailingFastAreAvoided(t *testing.T) {
 	s := smallFleet(5)
 	fault := model.Fault{From: 5 * time.Second, Until: 15 * time.Second, FailFastRatio: 0.9}
@@ -24,9 +24,9 @@
 	requireInTime(t, result, 0.93)
 }
 
-// A fifth of the servers fails from a third to nearly all of its requests at once. Least-request balancing takes quick
-// errors for speed and sends these servers more requests than before. The decision module sends them fewer and serves
-// nearly all requests.
+// A fifth of the servers fails between a third and nearly all of its requests immediately. Least-request balancing
+// takes quick errors for short response times and sends these servers more requests than before. The decision module
+// sends them fewer and serves nearly all requests.
 func TestFailingServersLoseLoadAtAllRatios(t *testing.T) {
 	for _, ratio := range []float64{0.36, 0.6, 0.9, 0.99} {
 		t.Run(fmt.Sprint(ratio), func(t *testing.T) {
@@ -45,13 +45,13 @@
 			requireNoViolations(t, result)
 			requireInTime(t, result, 0.95)
 			if during > before/2 {
-				t.Errorf("the failing servers get a share of %.2f, %.2f before", during, before)
+				t.Errorf("the failing servers get a share of %.2f, want at most half of the %.2f before", during, before)
 			}
 			baseline := runPolicy(t, scenario(), "least-request", nil)
 			baselineBefore := attemptShare(baseline, 0, 5, failing...)
 			baselineDuring := attemptShare(baseline, 7, 15, failing...)
 			if ratio >= 0.6 && baselineDuring < baselineBefore*1.1 {
-				t.Errorf("least request sends the failing servers %.2f, %.2f before: quick errors attract no load",
+				t.Errorf("least request sends the failing servers %.2f, %.2f before: quick errors do not attract load",
 					baselineDuring, baselineBefore)
 			}
 			t.Logf("module: in time %.3f, share %.2f then %.2f; least request: in time %.3f, share %.2f then %.2f",
@@ -60,8 +60,8 @@
 	}
 }
 
-// A cold server that joins an overloaded fleet does not collapse. It does if the instances assume that servers start
-// warm, which shows the value of slow start.
+// A server in slow start that joins an overloaded fleet does not collapse. It does if the instances are not configured
+// with its slow start.
 func TestSlowStartProtectsNewServer(t *testing.T) {
 	overloaded := func(seed uint64) *plan.Scenario {
 		s := smallFleet(seed)
@@ -74,7 +74,7 @@
 		s.Servers[3].Incarnations = []plan.Incarnation{joinAt(10 * time.Second)}
 		joining := &s.Servers[3].Config
 		joining.SlowStartRatio, joining.SlowStartTime = 0.31, 8600*ms
-		joining.OverloadMultiple = 1 // it collapses when it gets more than its capacity for 1 s
+		joining.OverloadMultiple = 1 // collapses when it gets more work than its capacity for 1 s
 		s.Settings.Contract.OverloadMultiple = 1
 		return s
 	}
@@ -116,11 +116,11 @@
 	result := run(t, s)
 	requireNoViolations(t, result)
 	if other := result.Classes[1]; float64(other.InTime) < 0.85*float64(other.Requested) {
-		t.Errorf("stall-pay %+v", other)
+		t.Errorf("class stall-pay: %+v, want at least 0.85 of the requests served in time", other)
 	}
 }
 
-// Clients that disconnect early and retry make an overload worse. There is no violation either way.
+// Clients that disconnect early and retry make an overload worse. No rule is violated with or without them.
 func TestEarlyRetriesWorsenOverload(t *testing.T) {
 	overload := func(abandonAfter time.Duration) *plan.Result {
 		s := smallFleet(11)
@@ -144,7 +144,7 @@
 	}
 }
 
-// The work of a cancelled attempt continues at its server: the next request waits for it, and its effect happens.
+// A server continues the work of a cancelled attempt: the next request waits for it, and it has its effect.
 func TestWorkContinuesAfterCancel(t *testing.T) {
 	s := smallFleet(1)
 	s.Servers, s.Instances, s.Length = s.Servers[:1], []int{0}, 4*time.Second
@@ -163,21 +163,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Every attempt was cancelled after 50 ms, and its server completed it nevertheless.
+	// Each attempt is cancelled after 50 ms, and the server completes it nevertheless.
 	if result.InTime() != 0 || started[1] < 3 {
-		t.Fatalf("%v in time, %d attempts", result.InTime(), started[1])
+		t.Fatalf("%v served in time, want 0; %d attempts, want at least 3", result.InTime(), started[1])
 	}
 	process := sim.servers[0].machine
 	if working, waiting := process.InFlight(); working+waiting != 0 {
-		t.Errorf("%d in work and %d waiting a minute later", working, waiting)
+		t.Errorf("%d requests in work and %d waiting a minute after the run, want none", working, waiting)
 	}
 	if done := process.WorkDone(); done < 0.99*float64(started[1]) {
 		t.Errorf("%.2f s of work were done for %d requests of 1 s", done, started[1])
 	}
 }
 
-// A server at its connection limit closes new connections. The instance can't know whether such a request ran, and no
-// effect happens twice.
+// A server at its connection limit closes new connections. The instance can't know whether such a request ran, and must
+// not cause a duplicate effect.
 func TestConnectionLimitResetsNewConnections(t *testing.T) {
 	const limit = 3 // fewer connections than the instances want
 	s := smallFleet(2)
@@ -191,7 +191,7 @@
 		}
 	})
 	if resets == 0 || result.Connections > limit*len(s.Servers) {
-		t.Errorf("%d resets, %d connections at most", resets, result.Connections)
+		t.Errorf("%d resets, %d connections at most: the connection limit is not enforced", resets, result.Connections)
 	}
 	if result.DuplicateEffects+result.SentAfterDrain+result.Unanswered > 0 {
 		t.Error(result.Violations())
--- a/internal/emulator/simulation/instance.go
+++ b/internal/emulator/simulation/instance.go
@@ -20,13 +20,13 @@
 	site            int
 	engine          *engine.Engine
 	budget          *handshake.Budget                // nil for no limit
-	idleConnections map[*engine.Target][]*connection // the one used last is last
-	drainingSince   map[int]Time                     // by server: when the instance learned of its drain or removal
-	openAttempts    map[*clientAttempt]bool          // of clients, without a response
+	idleConnections map[*engine.Target][]*connection // the most recently used last
+	drainingSince   map[int]Time                     // by server: time of the notification of its drain or removal
+	openAttempts    map[*clientAttempt]bool          // client attempts without a response
 	killed          bool
 }
 
-// newInstance creates an instance without state. incarnation counts how often it was killed before.
+// newInstance creates an instance without state. incarnation is the number of times that it has been killed.
 func (sim *simulator) newInstance(ctx context.Context, number, incarnation int) (*instance, error) {
 	n := &instance{
 		simulator:       sim,
@@ -66,7 +66,7 @@
 	return seed<<16 | uint64(incarnation)<<40 | uint64(number)
 }
 
-// start starts the engine with the endpoint list as it is known on the instance's site.
+// start starts the engine with the endpoint list that is known at the instance's site.
 func (n *instance) start() {
 	sim := n.simulator
 	n.engine.Start()
@@ -85,7 +85,7 @@
 	n.post(func(now balancer.Micros) { n.engine.UpdateEndpoints(now, balancer.ListFull, list) })
 }
 
-// kill stops the instance: its connections break, and its clients retry if that is safe.
+// kill stops the instance. Its connections are closed, and its clients retry where that is safe.
 func (n *instance) kill() {
 	n.killed = true
 	for _, idle := range n.idleConnections {
--- a/internal/emulator/simulation/membership.go
+++ b/internal/emulator/simulation/membership.go
@@ -7,7 +7,7 @@
 )
 
 // notifyInstances notifies every instance of a new state of the server, each after its own delay. The delay of an
-// instance is the same for all states, so that notifications arrive in order.
+// instance is the same for all states, so that its notifications arrive in order.
 func (s *server) notifyInstances(incarnation plan.Incarnation, state balancer.State) {
 	sim := s.simulator
 	for i := range sim.instances {
@@ -23,8 +23,8 @@
 	}
 }
 
-// stateFor returns the state of the server in the endpoint list that an instance receives now. The list is as old as
-// the instance's notifications.
+// stateFor returns the state of the server in the endpoint list that an instance receives now. The list is delayed as
+// much as the instance's notifications.
 func (s *server) stateFor(n *instance) (incarnation plan.Incarnation, state balancer.State, listed bool) {
 	at := s.simulator.now - s.simulator.scenario.NotificationDelay(s.number, n.number)
 	for _, candidate := range s.spec.Incarnations {
--- a/internal/emulator/simulation/restart_test.go
+++ b/internal/emulator/simulation/restart_test.go
@@ -14,8 +14,8 @@
 	"pinedale/internal/emulator/trace"
 )
 
-// A restarting server is listed as draining, removed, and ready again. No request is lost, and the server gets load
-// after its return.
+// A restarting server is listed as draining, as removed, and as ready again. No request is lost, and the server
+// receives load after its return.
 func TestRestartedServerReceivesLoad(t *testing.T) {
 	s := smallFleet(6)
 	s.Servers[0].Incarnations = append(drainAndEnd(5*time.Second, 9*time.Second), joinAt(10*time.Second))
@@ -61,8 +61,8 @@
 	}
 }
 
-// Killed instances lose their connections and state, and every request still ends. Their replacements learn the
-// present endpoint list and serve.
+// Killed instances lose their connections and state, and every request still ends. Their replacements receive the
+// current endpoint list and serve requests.
 func TestKilledInstancesAreReplaced(t *testing.T) {
 	s := smallFleet(6)
 	s.Servers[0].Incarnations = drainAndEnd(5*time.Second, 9*time.Second)
@@ -72,7 +72,7 @@
 		{At: lastKill, Instances: []int{0, 1}},
 	}
 	attempts := map[int]int{} // of the first instance after its second kill, by server
-	// By request: what a kill ended, whether the client has retried that, and what is in progress.
+	// By request number: the requests that a kill ended, whether the client retried them, and the requests in progress.
 	ended, retried, inProgress := map[uint64]trace.Event{}, map[uint64]bool{}, map[uint64]trace.Event{}
 	sim := newSimulator(s, Options{OnEvent: func(event trace.Event) {
 		switch event.Kind {
@@ -102,25 +102,26 @@
 	requireNoViolations(t, result)
 	for _, instance := range sim.instances {
 		if instance.killed || len(instance.openAttempts) > 0 {
-			t.Errorf("instance %d: killed %t, %d requests without an end",
+			t.Errorf("instance %d: killed %t, %d client attempts without a response",
 				instance.number, instance.killed, len(instance.openAttempts))
 		}
 	}
 	if attempts[1] > 0 || len(attempts) < 2 {
-		t.Errorf("the replacement sends %v attempts by server, server 1 is removed", attempts)
+		t.Errorf("attempts of the replacement by server: %v, want several servers, not the removed server 1", attempts)
 	}
 	retries := 0
 	for number, request := range ended {
 		idempotent := s.Classes[request.Class-1].Idempotency == balancer.Idempotent
 		if retried[number] != idempotent {
-			t.Errorf("request %d of class %d, which a kill has ended: retried %t", number, request.Class, retried[number])
+			t.Errorf("request %d of class %d, ended by a kill: retried %t, want %t",
+				number, request.Class, retried[number], idempotent)
 		}
 		if retried[number] {
 			retries++
 		}
 	}
 	if retries == 0 || retries == len(ended) {
-		t.Errorf("%d of %d requests that a kill has ended are retried, want those that are idempotent", retries, len(ended))
+		t.Errorf("%d of %d requests ended by a kill were retried, want only the idempotent ones", retries, len(ended))
 	}
 }
 
@@ -138,12 +139,12 @@
 		s.Instances = append(s.Instances, i%2)
 	}
 	s.Clients.Rate, s.Clients.RateVariation = 900, 0.8
-	s.Settings.Limits.KeepAlive = 5 * microsSecond
+	s.Settings.Limits.KeepAlive = 5 * microsPerSecond
 	return s
 }
 
-// All instances restart at one instant without state. Their first requests are served nearly as well as those before,
-// and the new connections are spread over the servers.
+// All instances restart at the same instant without state. The first requests afterwards are served nearly as well as
+// those before, and the new connections are spread over the servers.
 func TestFleetServesAfterAllInstancesRestart(t *testing.T) {
 	s := largeFleet(7)
 	kill := plan.Kill{At: 10 * time.Second}
@@ -157,7 +158,7 @@
 		total := result.Seconds[second].Total()
 		return float64(total.InTime) / float64(total.Requested)
 	}
-	for second := 11; second < 15; second++ { // the requests of second 10 were open at the kill
+	for second := 11; second < 15; second++ { // requests of second 10 were in progress at the kill
 		if got, want := inTime(second), inTime(8)-0.05; got < want {
 			t.Errorf("second %d: %.3f served in time, %.3f before the restart", second, got, inTime(8))
 		}
@@ -168,8 +169,8 @@
 	}
 }
 
-// Many instances with one or two requests a second each share servers without coordination. They don't overload a
-// server together, and a site that returns cold does not collapse.
+// Many instances with a few requests a second each share servers without coordination. Together they don't overload a
+// server, and the servers of a site that returns in slow start do not collapse.
 func TestReturningSiteDoesNotCollapse(t *testing.T) {
 	s := largeFleet(8)
 	for i := range s.Servers {
@@ -181,13 +182,13 @@
 	result := run(t, s)
 	requireNoViolations(t, result)
 	if result.PeakStrain > 0.9 {
-		t.Errorf("a cold server came to %.2f of the load at which it collapses", result.PeakStrain)
+		t.Errorf("a server in slow start reached %.2f of the load at which it collapses", result.PeakStrain)
 	}
 	if returned := result.Seconds[18].Total(); float64(returned.InTime) < 0.97*float64(returned.Requested) {
-		t.Errorf("9 s after the site's return: %+v", returned)
+		t.Errorf("9 s after the site's return: %+v, want at least 0.97 of the requests served in time", returned)
 	}
 	highest, lowest := slices.Max(result.Seconds[4].Attempts), slices.Min(result.Seconds[4].Attempts)
 	if highest > 60 || lowest < 1 {
-		t.Errorf("before the crash a server got %d to %d requests in a second", lowest, highest)
+		t.Errorf("before the crash a server received %d to %d attempts in a second, want 1 to 60", lowest, highest)
 	}
 }
--- a/internal/emulator/simulation/server.go
+++ b/internal/emulator/simulation/server.go
@@ -11,16 +11,16 @@
 	"pinedale/internal/engine"
 )
 
-// server is one server over all its incarnations.
+// server is a server over all its incarnations.
 type server struct {
 	simulator   *simulator
 	spec        *plan.Server
 	number      int
 	address     string
-	machine     *model.Server // the present process; nil before the first
-	wakeVersion uint64        // number of the wake-up that is valid
+	machine     *model.Server // the current process; nil before the first
+	wakeVersion uint64        // number of the wake-up scheduled last; earlier ones have no effect
 	pending     map[uint64]*call
-	collapsed   bool // in one of its incarnations
+	collapsed   bool // at least one incarnation has collapsed
 }
 
 // running reports whether the server has a process that accepts connections.
@@ -43,7 +43,8 @@
 	}
 }
 
-// startProcess starts a process of the server. One that was there before the run is warm and known to all instances.
+// startProcess starts a process of the server. A process of the initial fleet is not in slow start, and the instances
+// start with it in their endpoint lists.
 func (s *server) startProcess(incarnation plan.Incarnation) {
 	sim := s.simulator
 	s.recordStrain()
@@ -62,7 +63,7 @@
 	}
 }
 
-// recordStrain records how close the present process has come to a collapse.
+// recordStrain records how close the current process has come to a collapse.
 func (s *server) recordStrain() {
 	if s.machine != nil {
 		result := s.simulator.result
@@ -70,7 +71,7 @@
 	}
 }
 
-// accept opens a connection, nil if the server does not accept one.
+// accept opens a connection. It returns nil if the server does not accept one.
 func (s *server) accept() *connection {
 	if s.machine == nil {
 		return nil
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -1,6 +1,6 @@
 // Package simulation runs a scenario on virtual time: clients, the real engine and decision module of each instance,
-// the network between instances and servers, and emulated servers. Nothing waits for a clock or a socket, so that a
-// minute of a fleet takes a fraction of a second, and the same seed gives the same result.
+// the network between instances and servers, and emulated servers. No part waits for a clock or a socket, so that a
+// simulated minute of a fleet takes a fraction of a second, and the same seed gives the same result.
 package simulation
 
 import (
@@ -45,8 +45,8 @@
 	connectionsOpened uint64 // since the start of the run
 }
 
-// settleDuration is how long a run continues after the last new request. All responses have come and the servers have
-// completed their work well within this time.
+// settleDuration is how long a run continues after the last new request. It is ample time for all responses to arrive
+// and for the servers to complete their work.
 const settleDuration = time.Minute
 
 // tickInterval is the interval at which engines prune idle connections.
@@ -89,7 +89,7 @@
 	return sim.result, nil
 }
 
-// start creates the servers and instances, and starts those that are there from the beginning.
+// start creates the servers and instances, and starts all instances and the servers of the initial fleet.
 func (sim *simulator) start(ctx context.Context) error {
 	for i := range sim.scenario.Servers {
 		server := &server{
@@ -113,7 +113,7 @@
 		server.scheduleIncarnations()
 	}
 	sim.tick()
-	for len(sim.queue) > 0 && sim.queue[0].at == 0 { // servers that were there before the run
+	for len(sim.queue) > 0 && sim.queue[0].at == 0 { // starts of the initial fleet's servers
 		sim.step()
 	}
 	for _, instance := range sim.instances {
@@ -149,7 +149,7 @@
 	}
 }
 
-// completeResult adds what is known only at the end of the run.
+// completeResult adds the values that are known only at the end of the run.
 func (sim *simulator) completeResult() {
 	sim.result.DuplicateEffects = len(sim.dedup.DuplicateEffects())
 	for _, server := range sim.servers {
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	ms           = time.Millisecond
-	microsSecond = balancer.Micros(1_000_000)
+	ms              = time.Millisecond
+	microsPerSecond = balancer.Micros(1_000_000)
 )
 
 // machine returns the configuration of one of the test fleet's machine kinds.
@@ -69,12 +69,12 @@
 				MaxRetryAfter: 1_500_000,
 			},
 			Contract: balancer.Contract{
-				DrainGrace:       2 * microsSecond,
+				DrainGrace:       2 * microsPerSecond,
 				SlowStartRatio:   0.31,
 				SlowStartTime:    8_600_000,
 				OverloadMultiple: 2.5,
-				OverloadTime:     microsSecond,
-				PollInterval:     10 * microsSecond,
+				OverloadTime:     microsPerSecond,
+				PollInterval:     10 * microsPerSecond,
 			},
 			Prices:       balancer.Prices{CrossZone: 0.03, Probe: 0.05},
 			Goal:         balancer.Goal{Overall: 0.45, WorstWindow: 0.35, WorstClass: 0.2},
@@ -102,7 +102,7 @@
 				Name:             "price-check",
 				Idempotency:      balancer.Idempotent,
 				LatencyObjective: 600_000,
-				ClientTimeout:    3 * microsSecond,
+				ClientTimeout:    3 * microsPerSecond,
 				PriorityWeight:   2,
 				LateWeightRatio:  0.3,
 			},
@@ -130,7 +130,7 @@
 				Name:             "day-close",
 				Idempotency:      balancer.IdempotentWithKey,
 				Group:            balancer.GroupCell,
-				DedupWindow:      12 * microsSecond,
+				DedupWindow:      12 * microsPerSecond,
 				LatencyObjective: 1_200_000,
 				ClientTimeout:    2_500_000,
 				PriorityWeight:   3,
@@ -148,7 +148,7 @@
 	return []plan.Incarnation{{Drain: drain, End: end}}
 }
 
-// joinAt returns the incarnation of a server that starts cold and stays.
+// joinAt returns the incarnation of a server that starts in slow start and stays.
 func joinAt(from Time) plan.Incarnation {
 	return plan.Incarnation{From: from, Drain: plan.Never, End: plan.Never}
 }
@@ -181,7 +181,7 @@
 	}
 }
 
-// requireInTime reports a run that served less than a ratio of its requests in time.
+// requireInTime reports a run that served less than the given ratio of its requests in time.
 func requireInTime(t *testing.T, result *plan.Result, lowest float64) {
 	t.Helper()
 	if got := result.InTime(); got < lowest {
@@ -189,7 +189,7 @@
 	}
 }
 
-// attemptShare returns the share of the attempts in seconds from to before until that went to some servers.
+// attemptShare returns the share of attempts that the given servers received in the seconds [from, until).
 func attemptShare(result *plan.Result, from, until int, servers ...int) float64 {
 	var selected, total float64
 	for _, second := range result.Seconds[from:until] {
@@ -220,14 +220,14 @@
 func TestSameSeedGivesSameResult(t *testing.T) {
 	first, second, other := run(t, smallFleet(3)), run(t, smallFleet(3)), run(t, smallFleet(4))
 	if !reflect.DeepEqual(first, second) {
-		t.Errorf("the same seed gives %+v and %+v", first, second)
+		t.Errorf("two runs with the same seed give %+v and %+v", first, second)
 	}
 	if reflect.DeepEqual(first.Seconds, other.Seconds) {
-		t.Error("another seed gives the same seconds")
+		t.Error("runs with different seeds give the same results per second")
 	}
 }
 
-// digest runs a scenario and hashes its trace. With a pause it sleeps after every 1000 events.
+// digest runs a scenario and returns a hash of its trace. If pause is above 0, it sleeps after every 1000 events.
 func digest(t *testing.T, s *plan.Scenario, pause time.Duration) (sum uint64, events int) {
 	t.Helper()
 	hash := fnv.New64a()
@@ -244,10 +244,10 @@
 func TestResultIsIndependentOfRealTime(t *testing.T) {
 	sum, events := digest(t, smallFleet(3), 0)
 	if pausedSum, pausedEvents := digest(t, smallFleet(3), 20*ms); pausedSum != sum || pausedEvents != events {
-		t.Errorf("a run with pauses differs: %d events and %d", events, pausedEvents)
+		t.Errorf("the trace depends on pauses: %d events without, %d with pauses", events, pausedEvents)
 	}
 	if otherSum, _ := digest(t, smallFleet(4), 0); otherSum == sum {
-		t.Error("another seed gives the same trace")
+		t.Error("runs with different seeds give the same trace")
 	}
 }
 
@@ -267,15 +267,15 @@
 	}
 	even, uneven := requestsByInstance(0), requestsByInstance(1)
 	if imbalance(even) > 2.5 || imbalance(uneven) < 4 {
-		t.Errorf("without variation: %v, with: %v", even, uneven)
+		t.Errorf("requests by instance: %v without variation, %v with variation", even, uneven)
 	}
 	if !slices.Equal(uneven, requestsByInstance(1)) {
-		t.Error("another run has other rates")
+		t.Error("a second run of the same seed distributes the requests differently")
 	}
 }
 
-// BenchmarkRun measures simulated requests a second on one core, by the number of servers and the policy, at half the
-// fleet's capacity.
+// BenchmarkRun measures simulated requests a second on one core at half the fleet's capacity, by number of servers and
+// by policy.
 func BenchmarkRun(b *testing.B) {
 	for _, servers := range []int{10, 100, 1000} {
 		for _, policy := range baselines.Names() {
@@ -300,7 +300,7 @@
 	}
 }
 
-// benchmarkScenario returns a scenario with this many servers and a load in proportion.
+// benchmarkScenario returns a scenario with this many servers and a proportional request rate.
 func benchmarkScenario(servers int) *plan.Scenario {
 	s := smallFleet(1)
 	for i := len(s.Servers); i < servers; i++ {
--- a/internal/emulator/sockets/server.go
+++ b/internal/emulator/sockets/server.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// Figures returns the number of requests in flight and of requests served, the ratio of its capacity that the server
-// has, and whether it is down.
-func (s *Server) Figures() (inFlight, served int, warmth float64, down bool) {
+// Stats returns the number of requests in flight, the number of requests served, the ratio of its full capacity that
+// the server has reached in slow start, and whether it is down.
+func (s *Server) Stats() (inFlight, served int, warmth float64, down bool) {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	working, waiting := s.machine.InFlight()
--- a/internal/emulator/sockets/server_test.go
+++ b/internal/emulator/sockets/server_test.go
@@ -216,7 +216,7 @@
 		})
 	}
 	requests.Wait()
-	if _, _, _, down := s.Figures(); !down {
+	if _, _, _, down := s.Stats(); !down {
 		t.Error("the server is not down")
 	}
 	requireStatus(t, s, testRequest{class: "read", id: "later", timeout: time.Second}, 0)
