--- a/internal/emulator/realtime/client.go
+++ b/internal/emulator/realtime/client.go
@@ -16,8 +16,8 @@
 	"pinedale/internal/emulator/trace"
 )
 
-// answerSlack is how long after the client's timeout a response still counts as sent in time: instances answer by the
-// timeout, and the machine has delays of its own.
+// answerSlack is how long after the client's timeout a response still counts as sent in time. Instances respond by the
+// timeout, but scheduling and loopback delays of the machine add to it.
 const answerSlack = 250 * time.Millisecond
 
 // Headers of client requests.
@@ -36,7 +36,7 @@
 type response struct {
 	code       int
 	retryAfter time.Duration
-	missing    bool // the client waited for its timeout in vain
+	missing    bool // no complete response arrived in time
 }
 
 // runClients sends the requests of the workload, each from a goroutine of its own.
@@ -92,7 +92,7 @@
 	return id
 }
 
-// endAttempt counts the end of a client attempt and returns whether and after which wait the client retries.
+// endAttempt counts the end of a client attempt and returns whether the client retries it, and after which wait.
 func (r *runner) endAttempt(request *plan.Request, outcome response) (wait time.Duration, retry bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,24 +125,24 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	message, err := r.newMessage(ctx, request, id, timeout)
+	httpRequest, err := r.newHTTPRequest(ctx, request, id, timeout)
 	if err != nil {
 		return response{code: plan.CodeDisconnected, missing: true}
 	}
-	answer, err := r.client.Do(message)
+	httpResponse, err := r.client.Do(httpRequest)
 	if err != nil {
 		abandoned := abandons && errors.Is(err, context.DeadlineExceeded)
 		return response{code: plan.CodeDisconnected, missing: !abandoned}
 	}
-	defer answer.Body.Close()
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	defer httpResponse.Body.Close()
+	if _, err := io.Copy(io.Discard, httpResponse.Body); err != nil {
 		return response{code: plan.CodeDisconnected, missing: true}
 	}
-	return response{code: answer.StatusCode, retryAfter: parseRetryAfter(answer.Header)}
+	return response{code: httpResponse.StatusCode, retryAfter: parseRetryAfter(httpResponse.Header)}
 }
 
-// newMessage returns the HTTP request of a client attempt.
-func (r *runner) newMessage(
+// newHTTPRequest returns the HTTP request of a client attempt.
+func (r *runner) newHTTPRequest(
 	ctx context.Context, request *plan.Request, id string, timeout time.Duration,
 ) (*http.Request, error) {
 	class := &r.scenario.Classes[request.Class]
@@ -151,30 +151,30 @@
 		method = http.MethodGet
 	}
 	url := r.instances[request.Instance].url + "/" + class.Name + "/x"
-	message, err := http.NewRequestWithContext(ctx, method, url, nil)
+	httpRequest, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	message.Header.Set(headerID, id)
-	message.Header.Set(headerClass, class.Name)
-	message.Header.Set(headerRemainingTime, strconv.FormatInt(timeout.Milliseconds(), 10))
-	message.Header.Set(headerWorkHint, strconv.FormatInt(request.WorkHint, 10))
+	httpRequest.Header.Set(headerID, id)
+	httpRequest.Header.Set(headerClass, class.Name)
+	httpRequest.Header.Set(headerRemainingTime, strconv.FormatInt(timeout.Milliseconds(), 10))
+	httpRequest.Header.Set(headerWorkHint, strconv.FormatInt(request.WorkHint, 10))
 	if request.Key != "" {
-		message.Header.Set(headerIdempotencyKey, request.Key)
+		httpRequest.Header.Set(headerIdempotencyKey, request.Key)
 	}
 	if request.AffinityKey > 0 {
-		message.Header.Set(headerAffinityKey, fmt.Sprint("s", request.AffinityKey))
+		httpRequest.Header.Set(headerAffinityKey, fmt.Sprint("s", request.AffinityKey))
 	}
 	if request.ClientAttempts > 1 {
-		message.Header.Set(headerRetry, "1")
+		httpRequest.Header.Set(headerRetry, "1")
 	}
 	if len(r.scenario.Tenants) > 0 {
-		message.Header.Set(headerTenant, r.scenario.Tenants[request.Tenant].Name)
+		httpRequest.Header.Set(headerTenant, r.scenario.Tenants[request.Tenant].Name)
 	}
-	return message, nil
+	return httpRequest, nil
 }
 
-// parseRetryAfter returns the delay that a response asks for, 0 for none.
+// parseRetryAfter returns the delay in the Retry-After header of a response, or 0 if there is none.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(header.Get("Retry-After")), 64)
 	if err != nil {
--- a/internal/emulator/realtime/instance.go
+++ b/internal/emulator/realtime/instance.go
@@ -15,8 +15,8 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// upstreamIdleTimeout is less than the time for which servers keep idle connections. It is the sidecar's setting
-	// on the platform.
+	// upstreamIdleTimeout is shorter than the time for which servers keep idle connections. It is the
+	// sidecar's setting on the platform.
 	upstreamIdleTimeout = 5 * time.Second
 	acceptTimeout       = time.Millisecond
 	maxBodyBytes        = 1 << 26
@@ -28,20 +28,20 @@
 	url    string
 }
 
-// synchronize waits until the engine of an instance has handled all events posted before.
+// synchronize waits until the engine of an instance has handled all events that were posted before.
 func (n *instance) synchronize() {
 	n.engine.Call(func(balancer.Micros) {})
 }
 
-// startInstances starts all instances and waits until each has its endpoint list. stop ends them: first the fronts,
-// which answer their requests in flight, then the engines. It must be called also after an error.
+// startInstances starts all instances and waits until each has its endpoint list. stop ends the fronts, which respond
+// to their requests in flight, and then the engines. stop must be called even if startInstances returns an error.
 func (r *runner) startInstances() (stop func(), err error) {
-	engineContext, endEngines := context.WithCancel(context.Background())
-	frontContext, endFronts := context.WithCancel(context.Background())
+	engineContext, cancelEngines := context.WithCancel(context.Background())
+	frontContext, cancelFronts := context.WithCancel(context.Background())
 	stop = func() {
-		endFronts()
+		cancelFronts()
 		r.fronts.Wait()
-		endEngines()
+		cancelEngines()
 		r.engines.Wait()
 	}
 	for number := range r.scenario.Instances {
@@ -88,14 +88,14 @@
 		AcceptFor:          acceptTimeout,
 		Log:                log,
 	})
-	r.fronts.Go(func() { _ = front.Serve(frontContext, listener) }) // ends with its context
+	r.fronts.Go(func() { _ = front.Serve(frontContext, listener) }) // returns when frontContext ends
 	r.instances = append(r.instances, &instance{engine: e, url: "http://" + listener.Addr().String()})
 	list := engine.List{Complete: true, Hosts: r.initialHosts(s.Instances[number])}
 	e.Post(func(now balancer.Micros) { e.UpdateEndpoints(now, balancer.ListFull, list) })
 	return nil
 }
 
-// initialHosts returns the servers that were there before the run, with their addresses for a site.
+// initialHosts returns the servers of the initial fleet, with their addresses for a site.
 func (r *runner) initialHosts(site int) []engine.Host {
 	var hosts []engine.Host
 	for server := range r.scenario.Servers {
@@ -107,7 +107,7 @@
 	return hosts
 }
 
-// hostEntry returns the entry of a server's present process in the endpoint list of a site.
+// hostEntry returns the entry of a server's current process in the endpoint list of a site.
 func (r *runner) hostEntry(server int, incarnation plan.Incarnation, state balancer.State, site int) engine.Host {
 	address := r.server(server).Addresses[site]
 	return r.scenario.HostEntry(server, incarnation, state, address, r.began)
--- a/internal/emulator/realtime/realtime.go
+++ b/internal/emulator/realtime/realtime.go
@@ -19,8 +19,8 @@
 	"pinedale/internal/emulator/trace"
 )
 
-// ErrKills is the error of a scenario that kills instances, which only virtual time can run.
-var ErrKills = errors.New("instances are killed on virtual time only: run this scenario without sockets")
+// ErrKillsUnsupported is the error of a scenario that kills instances, which is supported on virtual time only.
+var ErrKillsUnsupported = errors.New("scenarios that kill instances run on virtual time only, not on sockets")
 
 // Options configure one run.
 type Options struct {
@@ -29,12 +29,12 @@
 	OnProgress func(plan.Time)      // called each second; may be nil
 }
 
-// Idle connections of clients close before the front closes them, which is after 2.1 s: a request could otherwise meet
-// the end of its connection.
+// clientIdleTimeout is shorter than the 2.1 s after which fronts close idle connections. A client could otherwise send
+// a request on a connection that its front is closing.
 const clientIdleTimeout = time.Second
 
-// The run begins setupTime after Run, and setupTimePerListener later for each listener, so that everything is up by
-// then.
+// A run begins setupTime after the call of Run, and setupTimePerListener later for each listener, so that all servers
+// and instances have started by then.
 const (
 	setupTime            = 50 * time.Millisecond
 	setupTimePerListener = 500 * time.Microsecond
@@ -59,20 +59,20 @@
 	result        *plan.Result
 	requests      map[string]*plan.Request // by the ID of the client attempt
 	serverNumbers map[*sockets.Server]int
-	servers       []*sockets.Server // the present process of each server
-	drainingSince map[notification]plan.Time
+	servers       []*sockets.Server // the current process of each server
+	drainingSince map[notificationKey]plan.Time
 	collapsed     map[int]bool // by server
-	closed        bool         // the result is complete
+	closed        bool         // the result is complete; no more events are emitted
 }
 
-// notification identifies what one instance knows of one server.
-type notification struct{ server, instance int }
+// notificationKey identifies the notifications that one instance receives about one server.
+type notificationKey struct{ server, instance int }
 
-// Run runs a scenario. It takes as long as the scenario is, and until all requests have ended. It returns early with
+// Run runs a scenario. It takes as long as the scenario, and then until all requests have ended. It returns early with
 // the error of ctx if ctx ends.
 func Run(ctx context.Context, s *plan.Scenario, o Options) (*plan.Result, error) {
 	if len(s.Kills) > 0 {
-		return nil, ErrKills
+		return nil, ErrKillsUnsupported
 	}
 	return newRunner(s, o).run(ctx)
 }
@@ -91,7 +91,7 @@
 		requests:      map[string]*plan.Request{},
 		serverNumbers: map[*sockets.Server]int{},
 		servers:       make([]*sockets.Server, len(s.Servers)),
-		drainingSince: map[notification]plan.Time{},
+		drainingSince: map[notificationKey]plan.Time{},
 		collapsed:     map[int]bool{},
 	}
 	var classes []sockets.Class
@@ -134,7 +134,7 @@
 // now returns the time since the start of the run.
 func (r *runner) now() plan.Time { return time.Since(r.began) }
 
-// at schedules an action for an instant of the run. It does not run if ctx ends before.
+// at schedules an action for an instant of the run. The action does not run if ctx ends before.
 func (r *runner) at(ctx context.Context, instant plan.Time, action func()) {
 	r.tasks.Go(func() {
 		if ctxtime.Sleep(ctx, instant-r.now()) {
@@ -151,7 +151,7 @@
 	}
 }
 
-// workOf returns the work of a client attempt, 0 if the run does not know it.
+// workOf returns the work of a client attempt, or 0 for an unknown ID.
 func (r *runner) workOf(_ int, id string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,7 +161,7 @@
 	return 0
 }
 
-// recordArrival counts an attempt that arrives at its server. It runs with the fleet's lock.
+// recordArrival counts an attempt that arrives at its server. The caller holds the fleet's lock.
 func (r *runner) recordArrival(server *sockets.Server, id string, _ model.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,7 +172,7 @@
 	}
 	now := r.now()
 	r.result.RecordAttempt(number, now)
-	since, draining := r.drainingSince[notification{server: number, instance: request.Instance}]
+	since, draining := r.drainingSince[notificationKey{server: number, instance: request.Instance}]
 	if draining && now > since+r.drainGrace(number, request.Instance) {
 		r.result.SentAfterDrain++
 	}
@@ -192,7 +192,7 @@
 	return grace + s.Latency(s.Instances[instance], s.Servers[server].Site)
 }
 
-// completeResult adds what is known only at the end of the run.
+// completeResult adds the values that are known only at the end of the run.
 func (r *runner) completeResult() {
 	for server := range r.scenario.Servers {
 		r.recordCollapse(server)
--- a/internal/emulator/realtime/realtime_test.go
+++ b/internal/emulator/realtime/realtime_test.go
@@ -18,7 +18,7 @@
 	"pinedale/internal/emulator/trace"
 )
 
-// restartAndTenants is what the short scenario adds to its file.
+// restartAndTenants is appended to the scenario file of shortScenario.
 const restartAndTenants = `
 [[trouble]]
 kind = "restart"
@@ -36,8 +36,8 @@
 allowance = 50
 `
 
-// shortScenario returns a scenario of 5 s with a server that fails fast, one that drains and restarts cold, and the
-// clients of two tenants.
+// shortScenario returns a scenario of 5 s with a server that fails fast, one that drains and restarts in slow start,
+// and the clients of two tenants.
 func shortScenario(t *testing.T) *plan.Scenario {
 	t.Helper()
 	text, err := os.ReadFile("../../../scenarios/failing-fast.toml")
@@ -59,8 +59,8 @@
 	return file.Plan(0)
 }
 
-// A run on sockets gets the same requests as one on virtual time, serves as well except for the machine's own delays,
-// and has no violation.
+// A run on sockets receives the same requests as one on virtual time, has a similar score apart from the machine's own
+// delays, and has no violation.
 func TestResultMatchesVirtualTime(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	s := shortScenario(t)
@@ -78,17 +78,17 @@
 	}
 	for i := range s.Classes {
 		if got.Classes[i].Requested != want.Classes[i].Requested {
-			t.Errorf("class %d: %+v, on virtual time %+v", i, got.Classes[i], want.Classes[i])
+			t.Errorf("class %d: %+v on sockets, %+v on virtual time", i, got.Classes[i], want.Classes[i])
 		}
 	}
 	for i := range s.Tenants {
 		if got.Tenants[i].Requested != want.Tenants[i].Requested || got.Tenants[i].Requested == 0 {
-			t.Errorf("tenant %d: %+v, on virtual time %+v", i, got.Tenants[i], want.Tenants[i])
+			t.Errorf("tenant %d: %+v on sockets, %+v on virtual time", i, got.Tenants[i], want.Tenants[i])
 		}
 	}
-	// The bound is wide since tests share the machine. The documentation has measured differences.
+	// The bound is wide since tests share the machine. The documentation lists measured differences.
 	if score, virtual := s.Score(got), s.Score(want); math.Abs(score-virtual) > 0.15 {
-		t.Errorf("G %.3f, on virtual time %.3f", score, virtual)
+		t.Errorf("G %.3f on sockets, %.3f on virtual time", score, virtual)
 	}
 	checkEvents(t, events, s, got)
 }
@@ -126,21 +126,21 @@
 		t.Errorf("error %v after %d client attempts, want %v", err, requested, context.Canceled)
 	}
 	if requested > 100 {
-		t.Errorf("%d client attempts", requested)
+		t.Errorf("%d client attempts, want at most 100: the context was cancelled at the 20th", requested)
 	}
 }
 
 func TestRunRejectsKills(t *testing.T) {
 	s := shortScenario(t)
 	s.Kills = []plan.Kill{{Instances: []int{0}}}
-	if _, err := Run(context.Background(), s, Options{}); !errors.Is(err, ErrKills) {
-		t.Errorf("error %v, want %v", err, ErrKills)
+	if _, err := Run(context.Background(), s, Options{}); !errors.Is(err, ErrKillsUnsupported) {
+		t.Errorf("error %v, want %v", err, ErrKillsUnsupported)
 	}
 }
 
-// A run bears thousands of connections with both ends in one process, without a violation. How many requests are
+// A run handles thousands of connections with both ends in one process, without a violation. How many requests are
 // served in time depends on the machine and is not checked.
-func TestRunBearsThousandsOfConnections(t *testing.T) {
+func TestRunHandlesThousandsOfConnections(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	s := shortScenario(t)
 	s.Length = time.Second
@@ -158,7 +158,7 @@
 		server.Config.Cores, server.Config.Speed = 400, 1 // works on all requests at once
 		server.Config.PauseInterval, server.Config.ThrashRatio, server.Config.HandshakeWork = 0, 0, 0
 	}
-	// The decision module would reject most requests, since it has not seen the fleet serve.
+	// The decision module would reject most requests, since it starts without measurements of the fleet.
 	newDecider, err := baselines.Named("random", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	if violations := result.Violations(); result.Connections < 2000 || violations != "" {
-		t.Errorf("%d connections at most for %d client attempts, %.3f in time %s",
+		t.Errorf("%d connections at most for %d client attempts, %.3f in time, violations: %s",
 			result.Connections, result.ClientAttempts, result.InTime(), violations)
 	}
 	t.Logf("%d client attempts, %d connections at most, %.3f in time",
--- a/internal/emulator/realtime/server.go
+++ b/internal/emulator/realtime/server.go
@@ -12,14 +12,14 @@
 	"pinedale/internal/engine"
 )
 
-// server returns the present process of a server, nil before the first.
+// server returns the current process of a server, nil before the first.
 func (r *runner) server(number int) *sockets.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.servers[number]
 }
 
-// startInitialServers starts the servers that were there before the run.
+// startInitialServers starts the servers of the initial fleet.
 func (r *runner) startInitialServers() error {
 	for number := range r.scenario.Servers {
 		incarnation := r.scenario.Servers[number].Incarnations[0]
@@ -60,7 +60,7 @@
 }
 
 // scheduleIncarnations schedules the starts, drains and ends of processes during the run. cancel ends the run if a
-// process does not start.
+// process fails to start.
 func (r *runner) scheduleIncarnations(ctx context.Context, cancel context.CancelCauseFunc) {
 	for number := range r.scenario.Servers {
 		for _, incarnation := range r.scenario.Servers[number].Incarnations {
@@ -111,11 +111,11 @@
 	}
 }
 
-// recordNotification records that an instance knows a new state of a server.
+// recordNotification records that an instance was notified of a new state of a server.
 func (r *runner) recordNotification(server, instance int, state balancer.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := notification{server: server, instance: instance}
+	key := notificationKey{server: server, instance: instance}
 	if state == balancer.Ready {
 		delete(r.drainingSince, key)
 	} else if _, known := r.drainingSince[key]; !known {
@@ -129,7 +129,7 @@
 	})
 }
 
-// recordCollapse records a server that has collapsed. The caller must not hold mu: the fleet's lock comes first.
+// recordCollapse records a server that has collapsed. The caller must not hold mu, since the fleet's lock comes first.
 func (r *runner) recordCollapse(number int) {
 	server := r.server(number)
 	if server == nil || !server.Collapsed() {
--- a/internal/emulator/sockets/dualprotocol/dualprotocol.go
+++ b/internal/emulator/sockets/dualprotocol/dualprotocol.go
@@ -1,5 +1,5 @@
-// Package dualprotocol serves one handler over HTTP/1.1 with TLS and over HTTP/3 on the same port number, as a server
-// does whose clients discover HTTP/3.
+// Package dualprotocol serves one handler over HTTP/1.1 with TLS and over HTTP/3 on the same port number, like a server
+// whose clients discover HTTP/3.
 package dualprotocol
 
 import (
@@ -22,7 +22,7 @@
 	protocolHTTP3 = "h3"
 )
 
-// ErrNoPort is the error of a listener that finds no port free on both TCP and UDP.
+// ErrNoPort is the error of a listener that finds no port that is free on both TCP and UDP.
 var ErrNoPort = errors.New("no port is free on TCP and UDP")
 
 // Options configure a listener.
@@ -55,7 +55,7 @@
 		ConnContext: func(ctx context.Context, _ *quic.Conn) context.Context { return o.Context(ctx) },
 	}
 	tlsListener := tls.NewListener(tcp, o.Config(protocolHTTP1))
-	var serving sync.WaitGroup // each server ends with its Close
+	var serving sync.WaitGroup // each server returns after its Close
 	serving.Go(func() { _ = http1Server.Serve(tlsListener) })
 	serving.Go(func() { _ = http3Server.Serve(udp) })
 	stop = func() {
@@ -70,7 +70,7 @@
 // maxPortAttempts bounds the search for a port that is free on both TCP and UDP.
 const maxPortAttempts = 20
 
-// listen opens a port on TCP and UDP.
+// listen opens the same port on TCP and UDP.
 func listen(hostPort string) (net.Listener, net.PacketConn, error) {
 	var lastErr error
 	for range maxPortAttempts {
@@ -85,7 +85,7 @@
 		lastErr = err
 		tcp.Close()
 		if _, port, _ := net.SplitHostPort(hostPort); port != "0" {
-			break // another attempt would find the same port
+			break // only port 0 selects another port on the next attempt
 		}
 	}
 	return nil, nil, errors.Join(ErrNoPort, lastErr)
--- a/internal/emulator/sockets/dualprotocol/dualprotocol_test.go
+++ b/internal/emulator/sockets/dualprotocol/dualprotocol_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestListenFailsWhenUDPPortIsTaken(t *testing.T) {
-	const maxAttempts = 10 // another process may take the port on TCP
+	const maxAttempts = 10 // another process may take the TCP port between the calls
 	var err error
 	for range maxAttempts {
 		err = listenOnTakenUDPPort(t)
--- a/internal/emulator/sockets/fleet.go
+++ b/internal/emulator/sockets/fleet.go
@@ -1,5 +1,5 @@
-// Package sockets puts emulated servers on loopback sockets: it runs the server model of package model on the system's
-// clock. A Transport accepts the connections and requests; HTTP1 and TLS are transports.
+// Package sockets runs emulated servers on loopback sockets: the server model of package model on the system's clock.
+// A Transport accepts the connections and requests; HTTP1 and TLS are transports.
 package sockets
 
 import (
@@ -11,7 +11,7 @@
 
 // Class is one class of requests as the servers know it.
 type Class struct {
-	Name string // empty for all classes without a name of their own
+	Name string // empty for the class of all names that no other class has
 	model.Class
 	Work time.Duration // mean, on a core of speed 1
 	CV   float64       // coefficient of variation of the work, which has a lognormal distribution
@@ -24,7 +24,7 @@
 	Now       func() model.Time // nil for the time since New
 	Transport Transport         // nil for HTTP1
 
-	// Work returns the work of a request. If it is nil, the work is drawn from the class by the request's ID.
+	// Work returns the work of a request. If it is nil, the work is drawn from the class, seeded by the request's ID.
 	Work func(class int, id string) time.Duration
 
 	// OnArrival is called with each request that arrives at a server. It must not block or call the fleet. It may be
@@ -35,12 +35,12 @@
 // Fleet is a set of servers that share a clock and a record of idempotency keys. Create one with New and close it.
 type Fleet struct {
 	options  Options
-	index    map[string]int // of the classes, by name
-	stopping sync.WaitGroup // stops of collapsed servers
+	index    map[string]int // class index by name
+	stopping sync.WaitGroup // listeners of collapsed servers that are being closed
 
-	mu              sync.Mutex // held for every call of a model, since the models share the store
+	mu              sync.Mutex // held for every call of a model, since the models share the dedup store
 	dedup           *model.DedupStore
-	requests        uint64 // so far
+	requests        uint64 // number of requests received
 	servers         []*Server
 	openConnections int
 	maxConnections  int // the highest number open at once
--- a/internal/emulator/sockets/fleet_test.go
+++ b/internal/emulator/sockets/fleet_test.go
@@ -45,7 +45,7 @@
 	second, err := f.Start(ServerSpec{Name: "t", Config: smallMachine(), Listen: s.Addresses[0]})
 	if err == nil {
 		second.Close()
-		t.Error("two servers have the same address")
+		t.Error("a second server starts on an address that is in use")
 	}
 }
 
@@ -53,10 +53,10 @@
 	f := New(Options{Seed: 1, Classes: []Class{{Name: "read", Work: 10 * ms, CV: 0.5}}})
 	first, other := f.work(0, "a"), f.work(0, "b")
 	if repeated := f.work(0, "a"); repeated != first {
-		t.Errorf("the work of one request is %v and %v", first, repeated)
+		t.Errorf("two draws for the same request ID give work %v and %v", first, repeated)
 	}
 	if first == other {
-		t.Errorf("two requests have the same work %v", first)
+		t.Errorf("requests with different IDs have the same work %v", first)
 	}
 	fixed := New(Options{Classes: []Class{{Work: 10 * ms}}})
 	if got := fixed.work(0, "a"); got != 10*ms {
--- a/internal/emulator/sockets/handler.go
+++ b/internal/emulator/sockets/handler.go
@@ -19,10 +19,10 @@
 	headerIdempotencyKey = "Idempotency-Key"
 	headerAffinityKey    = "X-Session-Key"
 	headerLoadReport     = "X-Backend-Load"
-	headerUnprocessed    = "X-Unprocessed" // "1": the request was rejected and did not run
+	headerUnprocessed    = "X-Unprocessed" // "1" if the request was rejected and did not run
 )
 
-// Paths that load probes and health checks ask for. Both cost the work of a probe.
+// Paths of load probes and health checks. Both cost the server the work of a probe.
 const (
 	pathLoadProbe   = "/stats"
 	pathHealthCheck = "/health/live"
@@ -37,7 +37,7 @@
 	latency time.Duration // one way
 
 	mu       sync.Mutex
-	accepted map[net.Conn]bool // connections that the server has counted
+	accepted map[net.Conn]bool // connections that count as open at the server
 }
 
 func newHandler(s *Server, latency time.Duration) *handler {
@@ -104,7 +104,7 @@
 	}
 }
 
-// serveRequest answers a request that arrives after a latency. It arrives even if its client has disconnected.
+// serveRequest answers a request that arrives after a latency. It arrives even if the client has disconnected.
 func (h *handler) serveRequest(w http.ResponseWriter, r *http.Request, latency time.Duration) {
 	ctx := r.Context()
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)) // the body has no effect
--- a/internal/emulator/sockets/server.go
+++ b/internal/emulator/sockets/server.go
@@ -6,7 +6,7 @@
 	"pinedale/internal/emulator/model"
 )
 
-// defaultListen is an unused port of the loopback interface.
+// defaultListen selects an unused port of the loopback interface.
 const defaultListen = "127.0.0.1:0"
 
 // ServerSpec describes a server.
@@ -15,7 +15,7 @@
 	Group     string // the group of servers that share keys of the scope model.Group
 	Config    model.Config
 	Seed      uint64
-	Warming   bool // it starts cold
+	Warming   bool // the server begins in slow start
 	Faults    []model.Fault
 	Latencies []time.Duration // one-way latency to each group of clients; empty for one group without latency
 	Listen    string          // host:port of the only address; empty for unused ports of the loopback interface
@@ -29,8 +29,8 @@
 	fleet   *Fleet
 	machine *model.Server
 	pending map[uint64]chan model.Outcome
-	timer   *time.Timer // of the next event of the model
-	stops   []func()    // of the listeners
+	timer   *time.Timer // fires at the next event of the model
+	stops   []func()    // close the listeners
 	served  int
 	closed  bool
 }
@@ -101,7 +101,7 @@
 }
 
 // OpenConnection counts a new connection, which costs the server work. It returns false if the server does not accept
-// it; CloseConnection must be called for each connection that it accepts.
+// the connection. CloseConnection must be called once for each accepted connection.
 func (s *Server) OpenConnection() bool {
 	f := s.fleet
 	f.mu.Lock()
@@ -139,7 +139,7 @@
 			s.served++
 		}
 		if outcome := s.pending[c.Number]; outcome != nil {
-			outcome <- c.Outcome // the channel has room for it
+			outcome <- c.Outcome // does not block: the channel is buffered and gets one outcome
 			delete(s.pending, c.Number)
 		}
 	}
--- a/internal/emulator/sockets/server_test.go
+++ b/internal/emulator/sockets/server_test.go
@@ -210,7 +210,7 @@
 func TestCollapsedServerStaysDown(t *testing.T) {
 	s := startServer(t, newTestFleet(t), ServerSpec{Config: smallMachine(), Warming: true})
 	var requests sync.WaitGroup
-	for i := range 200 { // 2 s of work at once; the server collapses at 0.78 s
+	for i := range 200 { // 2 s of work at once; the server collapses at 0.78 s of work
 		requests.Go(func() {
 			send(s.Addresses[0], testRequest{class: "read", id: fmt.Sprint(i), timeout: 10 * time.Second})
 		})
@@ -250,7 +250,7 @@
 func (c *manualClock) now() model.Time    { return model.Time(c.nanoseconds.Load()) }
 func (c *manualClock) set(now model.Time) { c.nanoseconds.Store(int64(now)) }
 
-// A cold server on sockets collapses at the same overload as the model.
+// A server in slow start collapses on sockets at the same overload as the model does.
 func TestWarmingServerCollapsesAtOverload(t *testing.T) {
 	for _, load := range []float64{1.5, 2.0, 2.4, 2.6, 3.0} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
@@ -263,8 +263,8 @@
 	goleak.VerifyNone(t)
 }
 
-// collapsesAt sends a cold server requests over one second and reports whether it collapses. load is the work of the
-// requests as a multiple of the server's capacity at the end of the second.
+// collapsesAt sends requests over one second to a server in slow start and reports whether it collapses. load is the
+// work of the requests as a multiple of the server's capacity at the end of that second.
 func collapsesAt(t *testing.T, load float64) bool {
 	t.Helper()
 	const requests = 50
@@ -348,7 +348,7 @@
 	}
 }
 
-// A request takes a round trip, and a new connection another one.
+// A response takes one round trip of latency, and a second one on a new connection.
 func TestLatencyDelaysResponses(t *testing.T) {
 	s := startServer(t, newTestFleet(t), ServerSpec{
 		Config:    smallMachine(),
--- a/internal/emulator/sockets/submit.go
+++ b/internal/emulator/sockets/submit.go
@@ -12,7 +12,7 @@
 	"pinedale/internal/emulator/plan"
 )
 
-// Request is one request as a transport reads it.
+// Request is a request as a transport reads it.
 type Request struct {
 	Class       string
 	ID          string
@@ -31,8 +31,8 @@
 
 func (e *UnknownClassError) Error() string { return fmt.Sprintf("%q is not a known class", e.Class) }
 
-// Submit passes a request to the server and waits for its response. If ctx ends before, the outcome is
-// model.Unanswered and the work continues. The error is an *UnknownClassError.
+// Submit passes a request to the server and waits for its response. If ctx ends first, the outcome is model.Unanswered
+// and the work continues. Any error is an *UnknownClassError.
 func (s *Server) Submit(ctx context.Context, r Request) (Response, error) {
 	f := s.fleet
 	class, err := f.classIndex(r.Class)
@@ -77,7 +77,7 @@
 	return outcome
 }
 
-// loadReport returns the load report that a response carries now.
+// loadReport returns the load report of a response that is sent now.
 func (s *Server) loadReport() string {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
@@ -97,7 +97,7 @@
 	return fmt.Sprintf("eps=%.2f,queue=%.2f", load.ErrorsPerSecond, load.Queue)
 }
 
-// classIndex returns the index of a class by its name, or that of the class for all other names.
+// classIndex returns the index of the class with a name, or else that of the class without a name.
 func (f *Fleet) classIndex(name string) (int, error) {
 	if class, ok := f.index[name]; ok {
 		return class, nil
@@ -108,8 +108,8 @@
 	return 0, &UnknownClassError{Class: name}
 }
 
-// work returns the work of a request. A draw depends on the request's ID alone, so that the work is the same at every
-// server.
+// work returns the work of a request. A random draw depends only on the seed and the request's ID, so that the work is
+// the same at every server.
 func (f *Fleet) work(class int, id string) time.Duration {
 	if f.options.Work != nil {
 		return f.options.Work(class, id)
@@ -122,9 +122,8 @@
 	return time.Duration(plan.Lognormal(rng, float64(mean), cv))
 }
 
-// hash returns a hash of a string.
 func hash(text string) uint64 {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, text) // a hash does not fail
+	_, _ = io.WriteString(h, text) // a hash never returns an error
 	return h.Sum64()
 }
--- a/internal/emulator/sockets/transport.go
+++ b/internal/emulator/sockets/transport.go
@@ -11,7 +11,7 @@
 	"pinedale/internal/emulator/sockets/dualprotocol"
 )
 
-// Transport puts a server on sockets of one kind.
+// Transport connects a server to sockets of one kind.
 type Transport interface {
 	// Listen opens a listener at host:port and passes its requests to the server. latency is the emulated one-way
 	// latency to its clients. stop closes the listener and its connections; it does not wait for requests in flight.
@@ -34,7 +34,7 @@
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context { return connectionContext(ctx) },
 	}
 	var serving sync.WaitGroup
-	serving.Go(func() { _ = server.Serve(listener) }) // ends with server.Close
+	serving.Go(func() { _ = server.Serve(listener) }) // returns after server.Close
 	stop := func() {
 		server.Close()
 		serving.Wait()
@@ -43,7 +43,7 @@
 }
 
 // TLS is the transport of HTTP/1.1 with TLS and of HTTP/3 on the same port number. The connection limit of a server
-// does not apply to HTTP/3, whose connections hold no descriptor.
+// does not apply to HTTP/3, whose connections use no file descriptor of their own.
 type TLS struct {
 	Config func(protocol string) *tls.Config // by ALPN name, see package dualprotocol
 }
