--- a/cmd/pinedale-simulate/demo_clients.go
+++ b/cmd/pinedale-simulate/demo_clients.go
@@ -37,7 +37,7 @@
 	stallPay:   {name: "stall-pay", method: http.MethodPost, hasKey: true},
 }
 
-// drawClass returns the index of a random class, with stallPayRatio of the requests in stallPay.
+// drawClass returns the index of a random class: stallPay with a probability of stallPayRatio, or else priceCheck.
 func drawClass(random *rand.Rand) int {
 	if random.Float64() < stallPayRatio {
 		return stallPay
--- a/internal/emulator/simulation/faults_test.go
+++ b/internal/emulator/simulation/faults_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// A server in slow start that joins an overloaded fleet does not collapse. It does if the instances are not configured
-// with its slow start.
+// A server in slow start that joins an overloaded fleet does not collapse. Servers do collapse
+// if slow start is missing in the settings of the instances.
 func TestSlowStartProtectsNewServer(t *testing.T) {
 	overloaded := func(seed uint64) *plan.Scenario {
 		s := smallFleet(seed)
@@ -144,7 +144,7 @@
 	}
 }
 
-// A server continues the work of a cancelled attempt: the next request waits for it, and it has its effect.
+// A server continues the work of a cancelled attempt: the next request waits for it, and the effect happens.
 func TestWorkContinuesAfterCancel(t *testing.T) {
 	s := smallFleet(1)
 	s.Servers, s.Instances, s.Length = s.Servers[:1], []int{0}, 4*time.Second
--- a/internal/emulator/simulation/instance.go
+++ b/internal/emulator/simulation/instance.go
@@ -26,7 +26,8 @@
 	killed          bool
 }
 
-// newInstance creates an instance without state. incarnation is the number of times that it has been killed.
+// newInstance creates an instance without state. incarnation is 0 for an instance of the initial
+// fleet and the number of the kill, counted from 1, for its replacements.
 func (sim *simulator) newInstance(ctx context.Context, number, incarnation int) (*instance, error) {
 	n := &instance{
 		simulator:       sim,
