--- a/internal/emulator/model/overload.go
+++ b/internal/emulator/model/overload.go
@@ -8,9 +8,9 @@
 	work float64
 }
 
-// Strain returns how close the server has come to a collapse while it was warming: the highest ratio of the work that
-// it was sent within an overload window to the work that makes it collapse. Handshakes and probes count.
-func (s *Server) Strain() float64 { return s.strain }
+// PeakOverloadRatio returns how close the server has come to a collapse while it was warming: the highest ratio of the
+// work that it was sent within an overload window to the work that makes it collapse. Handshakes and probes count.
+func (s *Server) PeakOverloadRatio() float64 { return s.peakOverloadRatio }
 
 // CollapsedAt returns when the server collapsed, Never if it did not.
 func (s *Server) CollapsedAt() Time { return s.collapsedAt }
@@ -33,7 +33,7 @@
 	}
 	capacity := s.config.capacity() * s.Warmth(now)
 	limit := s.config.OverloadMultiple * capacity * s.config.OverloadWindow.Seconds()
-	s.strain = max(s.strain, sum/limit)
+	s.peakOverloadRatio = max(s.peakOverloadRatio, sum/limit)
 	if sum <= limit {
 		return false
 	}
--- a/internal/emulator/model/server.go
+++ b/internal/emulator/model/server.go
@@ -36,9 +36,9 @@
 	pauseDraws uint64
 
 	// Overload of a warming server.
-	recentWork  []arrivedWork // within the overload window
-	strain      float64
-	collapsedAt Time
+	recentWork        []arrivedWork // within the overload window
+	peakOverloadRatio float64
+	collapsedAt       Time
 
 	// Load reports.
 	recentErrors []Time // failures of the last second
--- a/internal/emulator/plan/fleet.go
+++ b/internal/emulator/plan/fleet.go
@@ -25,8 +25,8 @@
 	End   Time // its end; Never if it outlives the run
 }
 
-// Always is the incarnation of a server that was there before the run and outlives it.
-var Always = []Incarnation{{Drain: Never, End: Never}}
+// AlwaysRunning is the incarnation of a server that was running before the run and outlives it.
+var AlwaysRunning = []Incarnation{{Drain: Never, End: Never}}
 
 // Class is one class of requests.
 type Class struct {
--- a/internal/emulator/plan/result.go
+++ b/internal/emulator/plan/result.go
@@ -51,17 +51,17 @@
 
 // Result is the result of a run.
 type Result struct {
-	Classes          []Tally
-	Tenants          []Tally
-	Seconds          []Second
-	Attempts         []int // by server
-	ClientAttempts   int   // with retries
-	Probes           int
-	Connections      int     // the highest number open at once
-	Handshakes       int     // connections opened; on virtual time only
-	HandshakesDenied int     // attempts and probes that the handshake budget refused
-	PeakHandshakes   int     // the highest number at one server in one second
-	PeakStrain       float64 // of all warming servers; 1 is a collapse; on virtual time only
+	Classes           []Tally
+	Tenants           []Tally
+	Seconds           []Second
+	Attempts          []int // by server
+	ClientAttempts    int   // with retries
+	Probes            int
+	Connections       int     // the highest number open at once
+	Handshakes        int     // connections opened; on virtual time only
+	HandshakesDenied  int     // attempts and probes that the handshake budget refused
+	PeakHandshakes    int     // the highest number at one server in one second
+	PeakOverloadRatio float64 // of all warming servers; above 1 a server collapses; on virtual time only
 
 	// Violations of what an instance and a fleet must ensure.
 	Unanswered       int   // client attempts with no response in time, or with two
--- a/internal/emulator/realtime/realtime_test.go
+++ b/internal/emulator/realtime/realtime_test.go
@@ -154,7 +154,7 @@
 	}
 	for i := range s.Servers {
 		server := &s.Servers[i]
-		server.Faults, server.Incarnations = nil, plan.Always
+		server.Faults, server.Incarnations = nil, plan.AlwaysRunning
 		server.Config.Cores, server.Config.Speed = 400, 1 // works on all requests at once
 		server.Config.PauseInterval, server.Config.ThrashRatio, server.Config.HandshakeWork = 0, 0, 0
 	}
--- a/internal/emulator/scenario/plan.go
+++ b/internal/emulator/scenario/plan.go
@@ -163,7 +163,7 @@
 				Kind:         kind,
 				Pod:          n / f.PodSize,
 				Config:       machine.config(),
-				Incarnations: plan.Always,
+				Incarnations: plan.AlwaysRunning,
 			})
 		}
 	}
--- a/internal/emulator/scenario/plan_test.go
+++ b/internal/emulator/scenario/plan_test.go
@@ -141,7 +141,7 @@
 			t.Errorf("server %d has the incarnations %+v, want %+v", i, server.Incarnations, want)
 		}
 	}
-	if !slices.Equal(plan.Always, []plan.Incarnation{{Drain: plan.Never, End: plan.Never}}) {
-		t.Errorf("the crash changed plan.Always to %+v", plan.Always)
+	if !slices.Equal(plan.AlwaysRunning, []plan.Incarnation{{Drain: plan.Never, End: plan.Never}}) {
+		t.Errorf("the crash changed plan.AlwaysRunning to %+v", plan.AlwaysRunning)
 	}
 }
--- a/internal/emulator/simulation/restart_test.go
+++ b/internal/emulator/simulation/restart_test.go
@@ -181,8 +181,8 @@
 	}
 	result := run(t, s)
 	requireNoViolations(t, result)
-	if result.PeakStrain > 0.9 {
-		t.Errorf("a server in slow start reached %.2f of the load at which it collapses", result.PeakStrain)
+	if result.PeakOverloadRatio > 0.9 {
+		t.Errorf("a server in slow start reached %.2f of the load at which it collapses", result.PeakOverloadRatio)
 	}
 	if returned := result.Seconds[18].Total(); float64(returned.InTime) < 0.97*float64(returned.Requested) {
 		t.Errorf("9 s after the site's return: %+v, want at least 0.97 of the requests served in time", returned)
--- a/internal/emulator/simulation/server.go
+++ b/internal/emulator/simulation/server.go
@@ -67,7 +67,7 @@
 func (s *server) recordStrain() {
 	if s.machine != nil {
 		result := s.simulator.result
-		result.PeakStrain = max(result.PeakStrain, s.machine.Strain())
+		result.PeakOverloadRatio = max(result.PeakOverloadRatio, s.machine.PeakOverloadRatio())
 	}
 }
 
--- a/internal/emulator/simulation/simulation_test.go
+++ b/internal/emulator/simulation/simulation_test.go
@@ -89,7 +89,7 @@
 			Site:         i % 2,
 			Pod:          i / 4,
 			Config:       kinds[i%3],
-			Incarnations: plan.Always,
+			Incarnations: plan.AlwaysRunning,
 		})
 	}
 	return s
--- a/internal/measure/coldstart/coldstart.go
+++ b/internal/measure/coldstart/coldstart.go
@@ -181,7 +181,7 @@
 
 // add adds the result of one seed.
 func (r *Row) add(day *plan.Scenario, result *plan.Result) {
-	r.Strain = append(r.Strain, result.PeakStrain)
+	r.Strain = append(r.Strain, result.PeakOverloadRatio)
 	r.Collapsed += len(result.Collapsed)
 	r.MinScore = min(r.MinScore, day.Score(result))
 	r.Connections = max(r.Connections, result.Connections)
