--- a/internal/emulator/model/advance.go
+++ b/internal/emulator/model/advance.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// warmingStep is the longest time for which the service rate of a warming server counts as constant.
+	// warmingStep is the longest time for which the service rate of a warming server is treated as constant.
 	warmingStep = 50 * time.Millisecond
-	// minRemainingWork is the work below which a request is done, in seconds: a rounding error.
+	// minRemainingWork is the remaining work, in seconds, up to which a request counts as done: it is a rounding error.
 	minRemainingWork = 1e-12
 )
 
-// NextEvent returns when something happens next without a call: Advance must be called by then.
+// NextEvent returns when the server's state next changes without a call. Advance must be called by then.
 func (s *Server) NextEvent() Time {
 	next := Never
-	if len(s.immediate) > 0 {
-		next = s.immediate[0].At
+	if len(s.scheduled) > 0 {
+		next = s.scheduled[0].At
 	}
 	if s.down {
 		return next
@@ -31,7 +31,8 @@
 	return next
 }
 
-// nextWorkEvent returns when the next request is done at this service rate, or when the rate changes before.
+// nextWorkEvent returns when the next request is done at this service rate, or when the rate changes if that is
+// earlier.
 func (s *Server) nextWorkEvent(rate float64) Time {
 	shortest := math.Inf(1)
 	for _, job := range s.running {
@@ -66,9 +67,9 @@
 			break
 		}
 		s.advanceWork(next)
-		completed = append(completed, s.takeImmediate(next)...)
+		completed = append(completed, s.takeScheduled(next)...)
 		s.startPause()
-		completed = append(completed, s.takeDone()...)
+		completed = append(completed, s.takeFinished()...)
 		s.fillSlots()
 	}
 	if now > s.now {
@@ -77,14 +78,14 @@
 	return completed
 }
 
-// advance is Advance for callers that return no completions: the next call of Advance returns them.
+// advance is Advance for callers that return no completions. It schedules them again for the next call of Advance.
 func (s *Server) advance(now Time) {
 	for _, c := range s.Advance(now) {
-		s.completeWithoutWork(c)
+		s.scheduleCompletion(c)
 	}
 }
 
-// advanceWork works on the running requests until an instant. The service rate must be constant until then.
+// advanceWork processes the running requests until an instant. The service rate must be constant until then.
 func (s *Server) advanceWork(until Time) {
 	if rate := s.rate(); rate > 0 {
 		work := rate * (until - s.now).Seconds()
@@ -94,25 +95,25 @@
 		}
 	}
 	s.now = max(s.now, until)
-	s.takeReports()
+	s.recordReports()
 	if s.warming && s.Warmth(s.now) >= 1 {
 		s.warming, s.recentWork = false, nil
 	}
 }
 
-// takeImmediate removes and returns the completions without work up to an instant.
-func (s *Server) takeImmediate(until Time) []Completion {
+// takeScheduled removes and returns the scheduled completions up to an instant.
+func (s *Server) takeScheduled(until Time) []Completion {
 	count := 0
-	for count < len(s.immediate) && s.immediate[count].At <= until {
+	for count < len(s.scheduled) && s.scheduled[count].At <= until {
 		count++
 	}
-	taken := s.immediate[:count]
-	s.immediate = s.immediate[count:]
+	taken := s.scheduled[:count]
+	s.scheduled = s.scheduled[count:]
 	return taken
 }
 
-// takeDone removes the running requests whose work is done and returns their completions.
-func (s *Server) takeDone() []Completion {
+// takeFinished removes the running requests whose work is done and returns their completions.
+func (s *Server) takeFinished() []Completion {
 	var completed []Completion
 	for _, job := range s.running {
 		if job.remaining <= minRemainingWork {
@@ -123,7 +124,7 @@
 	return completed
 }
 
-// startPause starts the next pause if it is due.
+// startPause starts a pause if one is due, and draws the start of the next.
 func (s *Server) startPause() {
 	if s.nextPause > s.now {
 		return
--- a/internal/emulator/model/arrive.go
+++ b/internal/emulator/model/arrive.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// immediateTime is how long a response takes that needs no work.
-const immediateTime = time.Millisecond
+// noWorkResponseTime is the time until a response to a request that needs no work.
+const noWorkResponseTime = time.Millisecond
 
-// Arrive passes a request to the server. It returns what has completed by now, which includes the request if the
-// server rejects it or loses its connection. Advance returns the completions of all other requests.
+// Arrive passes a request to the server. It returns the requests that have completed by now, including this one if the
+// server rejects it or its connection fails. Advance returns the completions of all other requests.
 func (s *Server) Arrive(now Time, r Request) []Completion {
 	completed := s.Advance(now)
 	if s.down {
@@ -29,7 +29,7 @@
 		return append(completed, Completion{Number: r.Number, Outcome: Rejected, At: now})
 	case effectFailedFast:
 		s.recentErrors = append(s.recentErrors, now)
-		s.completeWithoutWork(Completion{Number: r.Number, Outcome: Failed, At: now + immediateTime})
+		s.scheduleCompletion(Completion{Number: r.Number, Outcome: Failed, At: now + noWorkResponseTime})
 		return completed
 	}
 	if !s.admit(now, &job{Request: r, remaining: work, outcome: outcome}) {
@@ -53,12 +53,12 @@
 	if busy && len(s.queued) >= s.config.queueSize() {
 		return false
 	}
-	// A duplicate is dropped on arrival: its effect has happened or is about to.
+	// A duplicate is dropped on arrival: the first run has had its effect, or will have it.
 	if j.Key != "" && !s.dedup.Execute(now, j.Class, j.Key, s.group) {
 		if j.outcome == Served {
 			j.outcome = Deduplicated
 		}
-		s.completeWithoutWork(Completion{Number: j.Number, Outcome: j.outcome, At: now + immediateTime})
+		s.scheduleCompletion(Completion{Number: j.Number, Outcome: j.outcome, At: now + noWorkResponseTime})
 		return true
 	}
 	if busy {
@@ -69,9 +69,9 @@
 	return true
 }
 
-// completeWithoutWork schedules a completion.
-func (s *Server) completeWithoutWork(c Completion) {
+// scheduleCompletion schedules the completion of a request that needs no more work.
+func (s *Server) scheduleCompletion(c Completion) {
 	byTime := func(a, b Completion) int { return cmp.Compare(a.At, b.At) }
-	i, _ := slices.BinarySearchFunc(s.immediate, c, byTime)
-	s.immediate = slices.Insert(s.immediate, i, c)
+	i, _ := slices.BinarySearchFunc(s.scheduled, c, byTime)
+	s.scheduled = slices.Insert(s.scheduled, i, c)
 }
--- a/internal/emulator/model/config.go
+++ b/internal/emulator/model/config.go
@@ -6,16 +6,16 @@
 type Config struct {
 	Cores        int
 	Speed        float64 // of a core: work done in a unit of time
-	SlotsPerCore int     // requests in work
-	QueuePerCore int     // requests that wait; the server rejects more
+	SlotsPerCore int     // requests processed at once
+	QueuePerCore int     // requests that wait; the server rejects further ones
 
-	// Each request beyond ThrashThreshold that a core holds costs ThrashRatio of its efficiency.
+	// Each request that a core holds beyond ThrashThreshold costs ThrashRatio of the core's efficiency.
 	ThrashRatio     float64
 	ThrashThreshold float64
 
-	SlowStartRatio float64       // ratio of its capacity that a cold server has
-	SlowStartTime  time.Duration // time until a cold server is warm
-	WarmByWork     bool          // work done warms the server sooner than SlowStartTime
+	SlowStartRatio float64       // ratio of its capacity that a server has when it starts
+	SlowStartTime  time.Duration // time from a server's start until it has its full capacity
+	WarmByWork     bool          // work done can end slow start before SlowStartTime
 
 	// A warming server collapses when the work that it is sent within OverloadWindow exceeds OverloadMultiple times
 	// its capacity at that moment. It never collapses if OverloadMultiple is 0.
@@ -39,11 +39,11 @@
 	KeyCacheTTL     time.Duration
 }
 
-// capacity returns the work that the machine does in a second when it is warm.
+// capacity returns the work that the machine does in a second after slow start.
 func (c *Config) capacity() float64 { return float64(c.Cores) * c.Speed }
 
-// slots returns how many requests the machine works on at once.
+// slots returns how many requests the machine processes at once.
 func (c *Config) slots() int { return c.Cores * c.SlotsPerCore }
 
-// queueSize returns how many requests wait at most.
+// queueSize returns how many requests can wait.
 func (c *Config) queueSize() int { return c.Cores * c.QueuePerCore }
--- a/internal/emulator/model/connection.go
+++ b/internal/emulator/model/connection.go
@@ -18,7 +18,7 @@
 // Disconnect closes a connection.
 func (s *Server) Disconnect() { s.connections = max(0, s.connections-1) }
 
-// addOverhead adds work that delays the running requests, each by an equal part.
+// addOverhead adds work that delays the running requests, divided equally among them.
 func (s *Server) addOverhead(now Time, work time.Duration) {
 	if s.addLoad(now, work.Seconds()) {
 		return
--- a/internal/emulator/model/dedup.go
+++ b/internal/emulator/model/dedup.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Idempotency states what a second run of a request does.
+// Idempotency states the effect of a second run of a request.
 type Idempotency uint8
 
 // The kinds of idempotency.
@@ -24,15 +24,15 @@
 	Group
 )
 
-// Class is what servers know of a class of requests.
+// Class is the part of a request class's configuration that servers have.
 type Class struct {
 	Idempotency Idempotency
 	Scope       Scope
 	Window      time.Duration // how long a key is recorded
 }
 
-// DedupStore is a fleet's record of idempotency keys. It also counts effects: all runs under one key are runs of the
-// same effect.
+// DedupStore is the record of idempotency keys of a fleet. It also counts effects: all runs with the same key are runs
+// of the same effect.
 type DedupStore struct {
 	classes []Class
 	lastRun map[scopedKey]Time
@@ -41,7 +41,7 @@
 	dropped int
 }
 
-// scopedKey is a key in the scope of one group; the group is empty for a scope of all servers.
+// scopedKey is a key within one group of servers; the group is empty for a key that all servers share.
 type scopedKey struct{ group, key string }
 
 // effect is one effect and how often it happened.
@@ -59,7 +59,7 @@
 	}
 }
 
-// scoped returns the key in the scope of its class at a server of a group.
+// scoped returns the key within the scope of its class at a server of a group.
 func (d *DedupStore) scoped(class int, key, group string) scopedKey {
 	if d.classes[class].Scope == Group {
 		return scopedKey{group: group, key: key}
@@ -89,7 +89,7 @@
 	return true
 }
 
-// Revert takes back the effect of a request that its server lost, and the record of its key.
+// Revert removes the effect of a request that its server lost, and the record of the request's key.
 func (d *DedupStore) Revert(class int, key, group string) {
 	if counted := d.effects[key]; counted != nil {
 		counted.count--
--- a/internal/emulator/model/fault.go
+++ b/internal/emulator/model/fault.go
@@ -1,10 +1,10 @@
 package model
 
-// Fault is a scripted misbehaviour of a server for a time. Ratios are of requests.
+// Fault is a scripted fault of a server during an interval. Ratios are of requests.
 type Fault struct {
 	From, Until     Time
 	FailFastRatio   float64 // fail at once, while the server appears healthy
-	UnansweredRatio float64 // run and are never answered
+	UnansweredRatio float64 // run and get no response
 	RejectRatio     float64 // are rejected before they run
 	FailLateRatio   float64 // fail once their work is done
 	ResetRatio      float64 // lose their connection once their work is done
@@ -18,7 +18,7 @@
 // slowsDown reports whether the fault has an effect on the service rate.
 func (f *Fault) slowsDown() bool { return f.SlowdownFactor > 1 }
 
-// faultEffect is what a fault does to an arriving request.
+// faultEffect is the effect of a fault on an arriving request.
 type faultEffect uint8
 
 const (
@@ -65,7 +65,7 @@
 	return Served, false
 }
 
-// unresponsive reports whether the server answers nothing now.
+// unresponsive reports whether the server answers neither requests nor probes now.
 func (s *Server) unresponsive(now Time) bool {
 	for i := range s.faults {
 		if s.faults[i].Unresponsive && s.faults[i].active(now) {
--- a/internal/emulator/model/fault_test.go
+++ b/internal/emulator/model/fault_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Faults that take effect when the work is done keep the effect of the request, and hit a duplicate that has the same
-// fault seed in the same way.
+// Faults that apply once the work is done do not undo the effect of the request. A duplicate with the same fault seed
+// gets the same fault.
 func TestLateFaultsKeepEffect(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -38,7 +38,7 @@
 			}
 			ran, dropped := s.dedup.Counts()
 			if (ran == 1) != test.wantRun || (dropped == 1) != test.wantRun {
-				t.Errorf("ran %d, dropped %d, want the effect: %v", ran, dropped, test.wantRun)
+				t.Errorf("ran %d, dropped %d, want the request to have run: %v", ran, dropped, test.wantRun)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 	wants := map[Outcome]int{Failed: 1000, ConnectionFailed: 2000, Unanswered: 3000, Served: 4000}
 	for outcome, want := range wants {
 		if math.Abs(float64(counts[outcome]-want)) > 200 {
-			t.Errorf("%v, want about %d of outcome %d", counts, want, outcome)
+			t.Errorf("outcomes %v, want about %d of outcome %d", counts, want, outcome)
 		}
 	}
 }
@@ -77,11 +77,11 @@
 	completed = append(completed, s.Advance(20*time.Second)...)
 	counts := countOutcomes(completed)
 	if counts[Failed] < 550 || counts[Failed] > 650 || counts[Served]+counts[Failed] != 1000 {
-		t.Errorf("%v, want about 600 failures", counts)
+		t.Errorf("outcomes %v, want about 600 failures and the rest of 1000 served", counts)
 	}
 }
 
-// A server that fails fast has an empty queue. Only the failures in its load report show the fault.
+// A server that fails fast has an empty queue, so only the failures in its load report show the fault.
 func TestFailFastShowsInErrorReport(t *testing.T) {
 	s := newTestServer(smallMachine(), false, Fault{Until: time.Minute, FailFastRatio: 0.6})
 	for number := range uint64(200) {
@@ -89,7 +89,7 @@
 	}
 	report, ok := s.Probe(time.Second)
 	if !ok || report.Queue != 0 || report.ErrorsPerSecond < 50 {
-		t.Errorf("the server reports %+v, %v", report, ok)
+		t.Errorf("report %+v (probe answered: %v), want an empty queue and at least 50 errors a second", report, ok)
 	}
 }
 
@@ -99,7 +99,7 @@
 	for _, at := range []Time{0, 3 * time.Second} {
 		completed := arriveAndAdvance(s, at, Request{Number: 1, Work: ms}, at+time.Second)
 		if got := countOutcomes(completed); got[Served] != 1 {
-			t.Errorf("at %v: %v", at, got)
+			t.Errorf("at %v: outcomes %v, want one served", at, got)
 		}
 	}
 }
@@ -111,17 +111,17 @@
 		t.Errorf("outcomes %v, want one unanswered", got)
 	}
 	if s.dedup.EffectCounts()["k"] != 1 {
-		t.Error("an unanswered request did not run")
+		t.Errorf("%d runs of an unanswered request, want 1", s.dedup.EffectCounts()["k"])
 	}
 }
 
 func TestUnresponsiveServerAnswersNothing(t *testing.T) {
 	s := newTestServer(smallMachine(), false, Fault{Until: time.Minute, Unresponsive: true})
 	if got := arriveAndAdvance(s, 0, Request{Number: 1, Work: ms}, time.Second); len(got) != 0 {
-		t.Errorf("an unresponsive server completes %v", got)
+		t.Errorf("an unresponsive server completed %v, want nothing", got)
 	}
 	if _, ok := s.Probe(0); ok {
-		t.Error("an unresponsive server answers probes")
+		t.Error("an unresponsive server answered a probe")
 	}
 }
 
@@ -133,7 +133,7 @@
 		Faults: []Fault{{From: time.Second, Until: 5 * time.Second, SlowdownFactor: 4}},
 	})
 	s.Arrive(0, Request{Number: 1, Work: 3 * time.Second})
-	// One second of work is done by 1 s, another during the four slow ones, and the last by 6 s.
+	// One second of work is done by 1 s, another by 5 s at a quarter of the speed, and the last by 6 s.
 	var completed []Completion
 	for now := Time(0); now <= 7*time.Second; now += 100 * ms {
 		completed = append(completed, s.Advance(now)...)
--- a/internal/emulator/model/keycache.go
+++ b/internal/emulator/model/keycache.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// keyCache is a cache of affinity keys that evicts the least recently used one. The zero value is empty.
+// keyCache is a cache of affinity keys that evicts the least recently used key. The zero value is an empty cache.
 type keyCache struct {
 	lastUsed map[uint64]Time
-	order    []uint64 // least recently used first; a cache has dozens of keys
+	order    []uint64 // least recently used first; searched linearly, as a cache has only dozens of keys
 }
 
 // touch makes a key the most recently used one and reports whether it was cached and used within the TTL.
--- a/internal/emulator/model/keycache_test.go
+++ b/internal/emulator/model/keycache_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The cache behaves as a plain list of keys that has the most recently used one first.
+// The cache is compared with a list of keys that has the most recently used key first.
 func TestKeyCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 5).Draw(t, "capacity")
@@ -24,7 +24,7 @@
 			i := slices.Index(list, key)
 			want := key != 0 && i >= 0 && now-lastUsed[key] <= ttl
 			if got := cache.touch(now, key, capacity, ttl); got != want {
-				t.Fatalf("key %d at %d: %v, want %v of %v", key, now, got, want, list)
+				t.Fatalf("key %d at %d: cached %v, want %v; most recently used first: %v", key, now, got, want, list)
 			}
 			if key == 0 || capacity == 0 {
 				continue
@@ -35,7 +35,7 @@
 			list, lastUsed[key] = slices.Insert(list, 0, key), now
 			list = list[:min(len(list), capacity)]
 			if len(cache.lastUsed) > capacity || len(cache.order) > 4*capacity+1 {
-				t.Fatalf("%d keys and %d places, want at most %d",
+				t.Fatalf("%d cached keys and %d entries in their order, want at most %d keys",
 					len(cache.lastUsed), len(cache.order), capacity)
 			}
 		}
--- a/internal/emulator/model/overload.go
+++ b/internal/emulator/model/overload.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// arrivedWork is work that a warming server was sent, in seconds of a core of speed 1.
+// arrivedWork is work that arrived at a warming server, in seconds of a core of speed 1.
 type arrivedWork struct {
 	at   Time
 	work float64
 }
 
 // PeakOverloadRatio returns how close the server has come to a collapse while it was warming: the highest ratio of the
-// work that it was sent within an overload window to the work that makes it collapse. Handshakes and probes count.
+// work that arrived within an overload window to the work that makes it collapse. Handshakes and probes count as work.
 func (s *Server) PeakOverloadRatio() float64 { return s.peakOverloadRatio }
 
 // CollapsedAt returns when the server collapsed, Never if it did not.
 func (s *Server) CollapsedAt() Time { return s.collapsedAt }
 
-// addLoad counts work that a warming server is sent. It returns true if the server collapses, which drops all of its
-// requests.
+// addLoad records work that arrives at a warming server. It returns true if the server collapses, which fails the
+// connections of all its requests.
 func (s *Server) addLoad(now Time, work float64) bool {
 	if !s.warming || s.config.OverloadMultiple <= 0 {
 		return false
@@ -39,7 +39,7 @@
 	}
 	s.down, s.collapsedAt = true, now
 	for _, dropped := range s.dropAll(now) {
-		s.completeWithoutWork(dropped)
+		s.scheduleCompletion(dropped)
 	}
 	return true
 }
--- a/internal/emulator/model/overload_test.go
+++ b/internal/emulator/model/overload_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A warming server collapses at 2.5 times its capacity at that moment for 1 s, from 31% of its capacity on, and not
-// below.
+// A warming server, which starts at 31% of its capacity, collapses at a load of more than 2.5 times its current
+// capacity for 1 s, and not below.
 func TestWarmingServerCollapsesAtOverload(t *testing.T) {
 	const capacity = 2.0 // of a warm server
 	for _, test := range []struct {
@@ -25,7 +25,7 @@
 			config := smallMachine()
 			config.QueuePerCore = 1000
 			s := newTestServer(config, true)
-			const requests = 1000 // small ones, evenly over one overload window
+			const requests = 1000 // small requests, evenly spread over one overload window
 			total := test.load * capacity * s.Warmth(test.start+time.Second) * float64(time.Second)
 			for i := range requests {
 				at := test.start + time.Duration(i)*time.Second/requests
@@ -39,11 +39,12 @@
 			}
 			later := countOutcomes(s.Arrive(time.Hour, Request{Number: 9999, Work: ms}))
 			if later[ConnectionFailed] != 1 {
-				t.Errorf("outcomes %v an hour later, want the server to be down still", later)
+				t.Errorf("outcomes %v an hour later, want a failed connection: the server must stay down", later)
 			}
 			collapsedAt := s.CollapsedAt()
 			if collapsedAt < test.start+900*ms || collapsedAt > test.start+time.Second {
-				t.Errorf("the server collapsed %v after the load began", collapsedAt-test.start)
+				t.Errorf("the server collapsed %v after the start of the load, want 900 ms to 1 s",
+					collapsedAt-test.start)
 			}
 		})
 	}
@@ -53,7 +54,7 @@
 	s := newTestServer(smallMachine(), true)
 	s.Arrive(0, Request{Number: 1, Work: 2 * time.Second})
 	if !s.Down() {
-		t.Error("a burst of 2 s of work does not collapse a server that does 0.62 s a second")
+		t.Error("a burst of 2 s of work did not collapse a server that does 0.62 s of work in a second")
 	}
 }
 
@@ -66,6 +67,6 @@
 		s.Probe(0)
 	}
 	if !s.Down() {
-		t.Error("connections and probes alone do not collapse the server")
+		t.Error("the handshakes and probes did not collapse the server")
 	}
 }
--- a/internal/emulator/model/properties_test.go
+++ b/internal/emulator/model/properties_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// action is a call of a server.
+// action is a kind of call to a server.
 type action uint8
 
 const (
@@ -42,25 +42,25 @@
 	return steps, end
 }
 
-// recording is what came of a sequence of actions.
-type recording struct {
+// runRecord is the outcome of a sequence of actions.
+type runRecord struct {
 	log       []string
 	ended     map[uint64]int // by request
 	requested int
 }
 
-func (r *recording) complete(completions []Completion) {
+func (r *runRecord) complete(completions []Completion) {
 	for _, c := range completions {
 		r.ended[c.Number]++
 		r.log = append(r.log, fmt.Sprint(c))
 	}
 }
 
-// play runs a sequence of actions on a server.
-func play(o Options, steps []step, end Time) recording {
+// runSteps runs a sequence of actions on a server.
+func runSteps(o Options, steps []step, end Time) runRecord {
 	o.Dedup = NewDedupStore(testClasses)
 	s := New(o)
-	r := recording{ended: map[uint64]int{}}
+	r := runRecord{ended: map[uint64]int{}}
 	for i, step := range steps {
 		switch step.action {
 		case arriveAction:
@@ -113,17 +113,17 @@
 			Faults:  []Fault{{From: 500 * ms, Until: time.Second, FailFastRatio: 0.5, UnansweredRatio: 0.3}},
 		}
 		steps, end := drawSteps(t)
-		first := play(options, steps, end)
+		first := runSteps(options, steps, end)
 		if len(first.ended) != first.requested {
-			t.Fatalf("%d requests, %d ended", first.requested, len(first.ended))
+			t.Fatalf("%d of %d requests ended", len(first.ended), first.requested)
 		}
 		for number, times := range first.ended {
 			if times != 1 {
 				t.Fatalf("request %d ended %d times", number, times)
 			}
 		}
-		if second := play(options, steps, end); !slices.Equal(first.log, second.log) {
-			t.Fatal("the same actions gave other results")
+		if second := runSteps(options, steps, end); !slices.Equal(first.log, second.log) {
+			t.Fatal("a second run of the same actions gave other results")
 		}
 	})
 }
@@ -155,7 +155,7 @@
 			config := Config{Cores: test.cores, Speed: 1, SlotsPerCore: 1, QueuePerCore: 1 << 20}
 			s := newTestServer(config, false)
 			rng := rand.New(rand.NewPCG(1, uint64(test.cores)))
-			expected := map[uint64]Time{} // completion without a wait, of open requests
+			expected := map[uint64]Time{} // completion time of each open request if it did not wait
 			waited, completed := 0.0, 0
 			complete := func(completions []Completion) {
 				for _, c := range completions {
--- a/internal/emulator/model/random.go
+++ b/internal/emulator/model/random.go
@@ -14,7 +14,7 @@
 	purposeReject
 )
 
-// draw returns a number in [0, 1) that is a hash of the server's seed, a number and a purpose.
+// draw returns a pseudo-random number in [0, 1): a hash of the server's seed, a number and a purpose.
 func (s *Server) draw(number, purpose uint64) float64 {
 	const (
 		numberFactor  = 0x9e3779b97f4a7c15
@@ -31,8 +31,8 @@
 	return float64(hash>>(64-mantissaBits)) / (1 << mantissaBits)
 }
 
-// drawPause draws an exponentially distributed time with a mean. Its draws are numbered apart from those of load
-// reports, so that a report does not move a pause.
+// drawPause draws an exponentially distributed time with a mean. Pauses count their draws separately from load reports,
+// so that a report does not move a pause.
 func (s *Server) drawPause(mean time.Duration) time.Duration {
 	s.pauseDraws++
 	return time.Duration(-math.Log(1-s.draw(s.pauseDraws, purposePause)) * float64(mean))
--- a/internal/emulator/model/report.go
+++ b/internal/emulator/model/report.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	errorWindow = time.Second // over which a load report counts failures
-	maxReports  = 64          // kept at most
+	errorWindow = time.Second // interval over which a load report counts failures
+	maxReports  = 64          // recorded reports that a server keeps
 )
 
 // LoadReport is the load that a server reports in its responses. It is delayed and inexact.
@@ -16,8 +16,8 @@
 	Queue           float64 // requests that wait
 }
 
-// queuedReport is a load report that was taken at an instant and not yet delayed.
-type queuedReport struct {
+// recordedReport is a load report with the time at which it was recorded. It is sent after Config.ReportDelay.
+type recordedReport struct {
 	at   Time
 	load LoadReport
 }
@@ -32,8 +32,7 @@
 	return s.Report(now), !s.down
 }
 
-// Report returns the load report that a response at this instant carries. The server's time must have been advanced to
-// it.
+// Report returns the load report in a response at this instant. The server must have been advanced to it.
 func (s *Server) Report(now Time) LoadReport {
 	for i := len(s.reports) - 1; i >= 0; i-- {
 		if s.reports[i].at <= now-s.config.ReportDelay {
@@ -43,19 +42,19 @@
 	return LoadReport{}
 }
 
-// withNoise returns a report with a random relative error.
+// withNoise returns the report with a random relative error.
 func (s *Server) withNoise(load LoadReport) LoadReport {
 	s.noiseDraws++
 	factor := 1 + s.config.ReportNoise*(2*s.draw(s.noiseDraws, purposeNoise)-1)
 	return LoadReport{ErrorsPerSecond: load.ErrorsPerSecond * factor, Queue: load.Queue * factor}
 }
 
-// takeReports takes the reports that are due.
-func (s *Server) takeReports() {
+// recordReports records the load reports that are due by now. It discards the oldest ones beyond maxReports.
+func (s *Server) recordReports() {
 	for s.config.ReportInterval > 0 && s.nextReport <= s.now {
 		expired := func(at Time) bool { return at < s.nextReport-errorWindow }
 		s.recentErrors = slices.DeleteFunc(s.recentErrors, expired)
-		s.reports = append(s.reports, queuedReport{
+		s.reports = append(s.reports, recordedReport{
 			at:   s.nextReport,
 			load: LoadReport{ErrorsPerSecond: float64(len(s.recentErrors)), Queue: float64(len(s.queued))},
 		})
--- a/internal/emulator/model/request.go
+++ b/internal/emulator/model/request.go
@@ -5,7 +5,7 @@
 // Request is one request as a server receives it.
 type Request struct {
 	Number      uint64        // of the attempt; unique in a run
-	FaultSeed   uint64        // determines the faults that the request meets; 0 for Number
+	FaultSeed   uint64        // determines which faults affect the request; if 0, Number does
 	Work        time.Duration // on a core of speed 1
 	Class       int
 	Key         string // idempotency key; empty for none
@@ -20,7 +20,7 @@
 	return r.Number
 }
 
-// Outcome is the way a request ends at a server.
+// Outcome is how a request ends at a server.
 type Outcome uint8
 
 // The outcomes of a request.
--- a/internal/emulator/model/server.go
+++ b/internal/emulator/model/server.go
@@ -5,9 +5,9 @@
 	Config  Config
 	Seed    uint64
 	Start   Time
-	Warming bool        // it starts cold; otherwise it is warm from its start
+	Warming bool        // starts with slow start; otherwise the server has its full capacity from its start
 	Dedup   *DedupStore // shared by the fleet
-	Group   string      // the group of servers that share keys of the scope Group
+	Group   string      // servers of one group share the keys of classes of scope Group
 	Faults  []Fault
 }
 
@@ -26,13 +26,13 @@
 	down        bool
 	running     []*job
 	queued      []*job
-	immediate   []Completion // of requests that end without work, by time
+	scheduled   []Completion // of requests that need no more work, by time
 	workDone    float64      // in seconds of a core of speed 1
 	connections int
 
 	// Pauses.
 	nextPause  Time
-	resumeAt   Time // end of the present or the last pause
+	resumeAt   Time // end of the current or the last pause
 	pauseDraws uint64
 
 	// Overload of a warming server.
@@ -41,20 +41,20 @@
 	collapsedAt       Time
 
 	// Load reports.
-	recentErrors []Time // failures of the last second
-	reports      []queuedReport
+	recentErrors []Time // failures within errorWindow
+	reports      []recordedReport
 	nextReport   Time
 	noiseDraws   uint64
 }
 
-// job is a request in work or in the queue.
+// job is a request that is running or queued.
 type job struct {
 	Request
 	remaining float64 // work, in seconds of a core of speed 1
-	outcome   Outcome // when the work is done
+	outcome   Outcome // once the work is done
 }
 
-// New returns a server that starts.
+// New returns a server that starts at o.Start.
 func New(o Options) *Server {
 	s := &Server{
 		config:      o.Config,
@@ -78,13 +78,13 @@
 // Down reports whether the server refuses connections: it was stopped, or it collapsed.
 func (s *Server) Down() bool { return s.down }
 
-// InFlight returns the number of requests in work and in the queue.
+// InFlight returns the numbers of running and of queued requests.
 func (s *Server) InFlight() (working, waiting int) { return len(s.running), len(s.queued) }
 
 // WorkDone returns the work done since the start, in seconds of a core of speed 1.
 func (s *Server) WorkDone() float64 { return s.workDone }
 
-// Stop ends the process. The requests that it holds are lost, and it refuses connections from now on.
+// Stop ends the process. Its requests are lost, and it refuses connections from now on.
 func (s *Server) Stop(now Time) []Completion {
 	completed := s.Advance(now)
 	s.down = true
--- a/internal/emulator/model/server_test.go
+++ b/internal/emulator/model/server_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Classes of the tests.
+// Indexes of testClasses.
 const (
 	idempotentClass = iota
 	fleetKeyClass
@@ -41,7 +41,7 @@
 	notIdempotentClass: {Idempotency: NotIdempotent},
 }
 
-// newTestServer returns a server with a deduplication store of its own.
+// newTestServer returns a server with its own deduplication store.
 func newTestServer(config Config, warming bool, faults ...Fault) *Server {
 	return New(Options{
 		Config:  config,
@@ -126,7 +126,7 @@
 	s := newTestServer(config, false)
 	s.Arrive(time.Hour, Request{Number: 2, Work: time.Second})
 	if got := countOutcomes(s.Stop(time.Hour + ms)); got[ConnectionFailed] != 1 || !s.Down() {
-		t.Errorf("outcomes %v, down %v", got, s.Down())
+		t.Errorf("outcomes %v, down %v, want one failed connection and a server that is down", got, s.Down())
 	}
 }
 
@@ -161,6 +161,6 @@
 	warming := responseTime(newTestServer(smallMachine(), true))
 	warm := responseTime(newTestServer(smallMachine(), false))
 	if ratio := float64(warming) / float64(warm); ratio < 2.9 || ratio > 1/0.31+0.05 {
-		t.Errorf("a warming server takes %v, a warm one %v", warming, warm)
+		t.Errorf("response times: warming %v, warm %v, want a ratio of 2.9 to %.2f", warming, warm, 1/0.31+0.05)
 	}
 }
--- a/internal/emulator/plan/fault.go
+++ b/internal/emulator/plan/fault.go
@@ -1,6 +1,6 @@
 package plan
 
-// Surge multiplies the request rate for a time.
+// Surge multiplies the request rate during an interval.
 type Surge struct {
 	From, Until Time
 	Factor      float64
@@ -12,7 +12,7 @@
 	return now >= s.From && now < s.Until && (s.Tenant < 0 || s.Tenant == tenant)
 }
 
-// CostSurge multiplies the work of a share of one class's requests for a time.
+// CostSurge multiplies the work of a share of one class's requests during an interval.
 type CostSurge struct {
 	From, Until Time
 	Class       int
@@ -25,12 +25,12 @@
 	return s.Class == class && now >= s.From && now < s.Until
 }
 
-// Rotation is a key rotation. Connections from before it are replaced by new ones with full handshakes, spread over
+// Rotation is a key rotation. Connections opened before it are replaced by new ones with full handshakes, spread over
 // its duration.
 type Rotation struct{ From, Until Time }
 
 // ReplaceAt returns when a connection is replaced, Never if it was opened after the start of the rotation.
-// spreadPosition, 0 to 1, is the connection's place within the rotation.
+// spreadPosition is the connection's position within the rotation, from 0 at its start to 1 at its end.
 func (r *Rotation) ReplaceAt(opened Time, spreadPosition float64) Time {
 	if opened >= r.From {
 		return Never
@@ -38,7 +38,7 @@
 	return r.From + Time(spreadPosition*float64(r.Until-r.From))
 }
 
-// Kill stops instances at once, with all their connections and state. Each restarts at once without state.
+// Kill ends instances without a drain and drops all their connections and state. Each restarts at once without state.
 type Kill struct {
 	At        Time
 	Instances []int
--- a/internal/emulator/plan/fleet.go
+++ b/internal/emulator/plan/fleet.go
@@ -12,7 +12,7 @@
 	Name         string
 	Site         int
 	Pod          int
-	Kind         int // of machine
+	Kind         int // index in Scenario.Kinds
 	Config       model.Config
 	Faults       []model.Fault
 	Incarnations []Incarnation // in order, without overlap
@@ -20,8 +20,8 @@
 
 // Incarnation is one process of a server.
 type Incarnation struct {
-	From  Time // its start; 0 for a process that was there before the run and is warm
-	Drain Time // start of its drain; Never without one
+	From  Time // its start; 0 for a process that was running before the run and needs no slow start
+	Drain Time // start of its drain; Never if it does not drain
 	End   Time // its end; Never if it outlives the run
 }
 
@@ -36,7 +36,7 @@
 	CV    float64       // coefficient of variation of the work, which has a lognormal distribution
 }
 
-// DedupClass returns what servers know of the class.
+// DedupClass returns the part of the class that servers use to drop duplicate requests.
 func (c *Class) DedupClass() model.Class {
 	class := model.Class{
 		Idempotency: model.Idempotency(c.Idempotency),
--- a/internal/emulator/plan/plan.go
+++ b/internal/emulator/plan/plan.go
@@ -18,7 +18,7 @@
 // Time is the time since the start of a run.
 type Time = model.Time
 
-// Never is an instant that does not come.
+// Never is later than every instant of a run.
 const Never = model.Never
 
 // Scenario is everything that determines a run.
@@ -27,7 +27,7 @@
 	Length               Time
 	Sites                []string
 	Kinds                []string  // kinds of machines
-	Weights              []float64 // work a second of a warm machine, by kind
+	Weights              []float64 // work that a machine does in a second after slow start, by kind
 	Latencies            Latencies
 	Servers              []Server
 	Instances            []int // site of each load balancer instance
@@ -38,9 +38,9 @@
 	CostSurges           []CostSurge
 	Rotations            []Rotation
 	Kills                []Kill            // on virtual time only
-	Budget               *handshake.Config // of each instance, nil for no limit; on virtual time only
+	Budget               *handshake.Config // of each instance; nil for no limit; on virtual time only
 	Subset               *subset.Config    // without the instance's name and site; nil for the whole fleet
-	MaxNotificationDelay time.Duration     // bounds how late instances learn of changes to the endpoint list
+	MaxNotificationDelay time.Duration     // longest delay before an instance learns of an endpoint list change
 	DrainDuration        time.Duration     // from the start of a drain to the end of the process
 	Settings             balancer.Settings // shared by all instances
 }
@@ -100,14 +100,14 @@
 
 // ServerSeed derives the seed of one server from that of the scenario.
 func (s *Scenario) ServerSeed(server int) uint64 {
-	const goldenRatio = 0x9e3779b97f4a7c15 // spreads consecutive numbers over all bits
+	const goldenRatio = 0x9e3779b97f4a7c15 // spreads consecutive server numbers over all bits
 	return s.Seed ^ uint64(server+1)*goldenRatio
 }
 
-// HostEntry returns the entry of a server in the endpoint list during one of its incarnations. began is the wall clock
-// time at the start of the run.
+// HostEntry returns the entry of a server in the endpoint list during one of its incarnations. runStart is the wall
+// clock time at the start of the run.
 func (s *Scenario) HostEntry(
-	server int, incarnation Incarnation, state balancer.State, address string, began time.Time,
+	server int, incarnation Incarnation, state balancer.State, address string, runStart time.Time,
 ) engine.Host {
 	spec := &s.Servers[server]
 	entry := engine.Host{
@@ -120,13 +120,13 @@
 		Weight:  1,
 	}
 	if incarnation.From > 0 {
-		entry.StartedMS = began.Add(incarnation.From).UnixMilli()
+		entry.StartedMS = runStart.Add(incarnation.From).UnixMilli()
 	}
 	return entry
 }
 
-// NotificationDelay returns how late an instance learns of changes to a server. It is the same for all changes, so
-// that notifications arrive in order.
+// NotificationDelay returns the delay before an instance learns of a change to a server. It is the same for all changes
+// to that server, so that notifications arrive in order.
 func (s *Scenario) NotificationDelay(server, instance int) time.Duration {
 	rng := rand.New(rand.NewPCG(s.Seed, uint64(server+1)<<32|uint64(instance+1)))
 	return time.Duration(rng.Float64() * float64(s.MaxNotificationDelay))
--- a/internal/emulator/plan/plan_test.go
+++ b/internal/emulator/plan/plan_test.go
@@ -14,8 +14,8 @@
 // Classes of the test scenario.
 const (
 	readClass  = iota // idempotent
-	payClass          // idempotent with a key that the whole fleet remembers
-	closeClass        // idempotent with a key that one group remembers
+	payClass          // idempotent with a key that all servers of the fleet share
+	closeClass        // idempotent with a key that the servers of one group share
 	orderClass        // not idempotent
 )
 
@@ -72,7 +72,7 @@
 func TestWorkloadFollowsSeed(t *testing.T) {
 	first, second, other := generate(testScenario(1)), generate(testScenario(1)), generate(testScenario(2))
 	if !reflect.DeepEqual(first, second) || reflect.DeepEqual(first[:10], other[:10]) {
-		t.Error("the workload does not follow from the seed")
+		t.Error("the workloads of seed 1 differ, or those of seeds 1 and 2 begin with the same requests")
 	}
 }
 
@@ -93,7 +93,8 @@
 	mean := sum / reads
 	cv := math.Sqrt(sumOfSquares/reads-mean*mean) / mean
 	if math.Abs(mean-0.1) > 0.005 || math.Abs(cv-0.5) > 0.05 || math.Abs(reads-1500) > 120 {
-		t.Errorf("%v reads, work %v with coefficient of variation %v", reads, mean, cv)
+		t.Errorf("%v reads of mean work %v with coefficient of variation %v, want about 1500, 0.1 and 0.5",
+			reads, mean, cv)
 	}
 }
 
@@ -155,7 +156,7 @@
 			request := &Request{Class: test.class, ClientAttempts: test.attempts}
 			wait, retry := s.Retry(request, test.code, test.retryAfter, test.now)
 			if retry != test.wantRetry || retry && wait != test.wantWait {
-				t.Errorf("got %v, %v, want %v, %v", wait, retry, test.wantWait, test.wantRetry)
+				t.Errorf("wait %v, retry %v, want %v, %v", wait, retry, test.wantWait, test.wantRetry)
 			}
 		})
 	}
@@ -195,17 +196,17 @@
 		t.Errorf("median %v of a second without responses, want 0", got)
 	}
 	if r.Violations() != "" {
-		t.Errorf("late, rejected and failed requests are violations: %s", r.Violations())
+		t.Errorf("late, rejected and failed requests count as violations: %s", r.Violations())
 	}
 }
 
 func TestCollapseIsViolation(t *testing.T) {
 	r := testScenario(1).NewResult()
 	if r.Violations() != "" {
-		t.Errorf("an empty result has the violations %s", r.Violations())
+		t.Errorf("an empty result has the violations %q, want none", r.Violations())
 	}
 	r.Collapsed = append(r.Collapsed, 3)
 	if r.Violations() == "" {
-		t.Error("a collapsed server is no violation")
+		t.Error("a collapsed server does not count as a violation")
 	}
 }
--- a/internal/emulator/plan/result.go
+++ b/internal/emulator/plan/result.go
@@ -21,10 +21,10 @@
 	t.Failed += other.Failed
 }
 
-// Second is the result of one second of a run. Requests count for the second of their first client attempt.
+// Second is the result of one second of a run. A request counts in the second of its first client attempt.
 type Second struct {
 	Classes        []Tally
-	ResponseMillis []float32 // response times of successes, unordered
+	ResponseMillis []float32 // response times of successful requests, unordered
 	Attempts       []int32   // by server
 }
 
@@ -39,7 +39,7 @@
 	return sum
 }
 
-// Quantile returns a quantile of the response times, 0 if there are none.
+// Quantile returns a quantile of the response times, 0 if there were no responses.
 func (s *Second) Quantile(quantile float64) time.Duration {
 	if len(s.ResponseMillis) == 0 {
 		return 0
@@ -63,10 +63,10 @@
 	PeakHandshakes    int     // the highest number at one server in one second
 	PeakOverloadRatio float64 // of all warming servers; above 1 a server collapses; on virtual time only
 
-	// Violations of what an instance and a fleet must ensure.
-	Unanswered       int   // client attempts with no response in time, or with two
+	// Violations of the guarantees of an instance and a fleet.
+	Unanswered       int   // client attempts with no response in time, or with more than one
 	DuplicateEffects int   // effects that happened more than once
-	SentAfterDrain   int   // attempts later than the grace after the notification of a drain
+	SentAfterDrain   int   // attempts sent later than the grace period after the notification of a drain
 	Collapsed        []int // servers that collapsed
 
 	// State of RecordHandshake.
@@ -89,7 +89,7 @@
 	return r
 }
 
-// RecordHandshake counts a new connection to a server. Calls must be in the order of time.
+// RecordHandshake counts a new connection to a server. Calls must be in chronological order.
 func (r *Result) RecordHandshake(server int, at Time) {
 	second := int(at / time.Second)
 	if second != r.handshakeSecond || r.handshakesByServer == nil {
@@ -135,11 +135,11 @@
 	}
 }
 
-// Violations describes the violations of a run, empty if there are none.
+// Violations describes the violations of a run. It is empty if there are none.
 func (r *Result) Violations() string {
 	if r.Unanswered+r.DuplicateEffects+r.SentAfterDrain+len(r.Collapsed) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("unanswered %d, done twice %d, sent after a drain %d, fallen over %v",
-		r.Unanswered, r.DuplicateEffects, r.SentAfterDrain, r.Collapsed)
+	return fmt.Sprintf("unanswered client attempts %d, duplicate effects %d, attempts sent after a drain %d, "+
+		"collapsed servers %v", r.Unanswered, r.DuplicateEffects, r.SentAfterDrain, r.Collapsed)
 }
--- a/internal/emulator/plan/retry.go
+++ b/internal/emulator/plan/retry.go
@@ -7,7 +7,7 @@
 	"pinedale/balancer"
 )
 
-// CodeDisconnected stands in place of an HTTP status where the client disconnected before the response.
+// CodeDisconnected is used in place of an HTTP status if the client disconnected before the response.
 const CodeDisconnected = 0
 
 // AttemptTimeout returns the timeout of a client attempt, which the client passes to its instance.
@@ -16,8 +16,9 @@
 	return time.Duration(timeout) * time.Microsecond
 }
 
-// Retry returns whether and after which wait a client retries after a response. It does not retry a success, beyond
-// its number of retries, after its class's timeout, or a request that may have run unless a second run is harmless.
+// Retry returns whether a client retries after a response, and how long it waits before. It does not retry a success,
+// beyond its number of retries, after its class's timeout, or a request that may have run unless a second run is
+// harmless.
 func (s *Scenario) Retry(
 	request *Request, code int, retryAfter time.Duration, now Time,
 ) (wait time.Duration, retry bool) {
--- a/internal/emulator/plan/score.go
+++ b/internal/emulator/plan/score.go
@@ -1,6 +1,6 @@
 package plan
 
-// worstWindowSeconds is the length of the window whose worst score counts.
+// worstWindowSeconds is the length of the windows of WorstWindow.
 const worstWindowSeconds = 10
 
 // InTime returns the ratio of requests that were served within their latency objective.
@@ -9,8 +9,8 @@
 	return float64(total.InTime) / float64(max(1, total.Requested))
 }
 
-// Score returns G, the score of a run from 0 to 1: the value earned over the whole run, in the worst window and by the
-// worst class, each as a ratio of the value that could be earned, weighted by the goal of the settings.
+// Score returns G, the score of a run from 0 to 1. It is the mean of the value earned over the whole run, in the worst
+// window and by the worst class, each as a ratio of the value of all requests, weighted by the goal of the settings.
 func (s *Scenario) Score(r *Result) float64 {
 	earned, possible := s.earned(r.Classes)
 	if possible == 0 {
@@ -21,7 +21,7 @@
 	return sum / (goal.Overall + goal.WorstWindow + goal.WorstClass)
 }
 
-// WorstWindow returns the least ratio of value earned in any window of worstWindowSeconds, 1 for a shorter run.
+// WorstWindow returns the lowest ratio of value earned in any window of worstWindowSeconds, 1 for a shorter run.
 func (s *Scenario) WorstWindow(r *Result) float64 {
 	worst := 1.0
 	for first := 0; first+worstWindowSeconds <= len(r.Seconds); first++ {
@@ -38,28 +38,28 @@
 	return worst
 }
 
-// WorstClass returns the least ratio of value earned by any class.
+// WorstClass returns the lowest ratio of value earned by any class.
 func (s *Scenario) WorstClass(r *Result) float64 {
 	worst := 1.0
 	for i, tally := range r.Classes {
 		if tally.Requested > 0 {
-			worst = min(worst, s.Classes[i].served(tally)/float64(tally.Requested))
+			worst = min(worst, s.Classes[i].weightedServed(tally)/float64(tally.Requested))
 		}
 	}
 	return worst
 }
 
-// earned returns the value of the requests that were served and of all requests.
+// earned returns the value of the requests that were served, and the value of all requests.
 func (s *Scenario) earned(classes []Tally) (earned, possible float64) {
 	for i, tally := range classes {
 		class := &s.Classes[i]
-		earned += class.PriorityWeight * class.served(tally)
+		earned += class.PriorityWeight * class.weightedServed(tally)
 		possible += class.PriorityWeight * float64(tally.Requested)
 	}
 	return earned, possible
 }
 
-// served counts served requests, late ones at the class's reduced weight.
-func (c *Class) served(tally Tally) float64 {
+// weightedServed counts served requests, late ones at the class's reduced weight.
+func (c *Class) weightedServed(tally Tally) float64 {
 	return float64(tally.InTime) + c.LateWeightRatio*float64(tally.Late)
 }
--- a/internal/emulator/plan/workload.go
+++ b/internal/emulator/plan/workload.go
@@ -10,11 +10,11 @@
 	"pinedale/balancer"
 )
 
-// Clients describes the load and the way clients retry.
+// Clients describes the load and how clients retry.
 type Clients struct {
 	Rate               float64       // new requests a second over all instances, without retries
 	RateVariation      float64       // coefficient of variation of the rate over instances
-	Retries            int           // client retries of one request at most
+	Retries            int           // maximum of client retries for one request
 	TimeoutRatio       float64       // timeout of one client attempt, as a ratio of the class's client timeout
 	AffinityKeys       int           // distinct affinity keys of requests; 0 for none
 	PopularityExponent float64       // exponent of the Zipf distribution of affinity keys
@@ -22,7 +22,7 @@
 	RetryDelay         time.Duration // before a retry, unless the response asks for a longer one
 }
 
-// Request is one request of a client, over its first attempt and its retries.
+// Request is one request of a client, including its retries.
 type Request struct {
 	Number         uint64 // counts from 1
 	At             Time   // of the first client attempt
@@ -36,13 +36,13 @@
 	ClientAttempts int             // so far
 }
 
-// Streams of random numbers that the scenario's seed gives.
+// Streams of random numbers derived from the scenario's seed.
 const (
 	requestStream  = 1
-	affinityStream = 2 // separate, so that affinity keys leave all other draws as they are
+	affinityStream = 2 // separate, so that drawing affinity keys does not change the other draws
 )
 
-// Workload generates the requests of a scenario in order. It depends on the scenario alone: runs of one seed, on
+// Workload generates the requests of a scenario in order. It depends on the scenario alone: runs with the same seed, on
 // virtual time or on sockets, get the same requests.
 type Workload struct {
 	scenario *Scenario
@@ -70,8 +70,8 @@
 	return w
 }
 
-// Next returns the next request, false at the end of the run. The rate is that of the previous request's instant, so
-// that a surge takes effect one request late.
+// Next returns the next request, or false at the end of the run. The rate is the one at the time of the previous
+// request, so a surge takes effect one request late.
 func (w *Workload) Next() (*Request, bool) {
 	s := w.scenario
 	rates, total := s.rates(w.now)
@@ -95,7 +95,7 @@
 	return request, true
 }
 
-// rates returns the request rates of the tenants and their sum; without tenants, the rate of all clients.
+// rates returns the request rates of the tenants and their sum. Without tenants, the sum is the rate of all clients.
 func (s *Scenario) rates(now Time) (rates []float64, total float64) {
 	if len(s.Tenants) == 0 {
 		return nil, s.Clients.Rate * s.surgeFactor(now, -1)
@@ -108,7 +108,7 @@
 	return rates, total
 }
 
-// surgeFactor returns the factor of all surges that affect a tenant now.
+// surgeFactor returns the product of the factors of all surges that affect a tenant now.
 func (s *Scenario) surgeFactor(now Time, tenant int) float64 {
 	factor := 1.0
 	for i := range s.Surges {
@@ -158,7 +158,8 @@
 	return 1 + uint64(pickCumulative(w.affinityRNG, w.popularity))
 }
 
-// pick draws one of count items by its weight; sum is the sum of the weights. It draws nothing if there are no items.
+// pick draws one of count items by weight; sum is the sum of the weights. It draws no random number if there are no
+// items.
 func pick(rng *rand.Rand, sum float64, count int, weight func(int) float64) int {
 	if count == 0 {
 		return 0
@@ -173,13 +174,14 @@
 	return count - 1
 }
 
-// pickCumulative draws one item by its weight; each entry is the sum of the weights up to the item's.
+// pickCumulative draws an item by weight. Each entry of cumulative is the sum of the weights up to and including that
+// of its item.
 func pickCumulative(rng *rand.Rand, cumulative []float64) int {
 	last := len(cumulative) - 1
 	return min(last, sort.SearchFloat64s(cumulative, rng.Float64()*cumulative[last]))
 }
 
-// Lognormal draws from a lognormal distribution with this mean and coefficient of variation.
+// Lognormal draws from a lognormal distribution with the given mean and coefficient of variation.
 func Lognormal(rng *rand.Rand, mean, cv float64) float64 {
 	if cv <= 0 {
 		return mean
