--- a/cmd/pinedale-simulate/main_test.go
+++ b/cmd/pinedale-simulate/main_test.go
@@ -58,7 +58,7 @@
 func TestRunPrintsResultAndWritesHTMLReport(t *testing.T) {
 	page := filepath.Join(t.TempDir(), "report.html")
 	text := mustExecute(t, "run", "-html", page, calmScenario)
-	if !strings.Contains(text, "no rule broken") || !strings.Contains(text, "stall-pay") {
+	if !strings.Contains(text, "no violations") || !strings.Contains(text, "stall-pay") {
 		t.Errorf("printed %s", text)
 	}
 	if data, err := os.ReadFile(page); err != nil || !bytes.Contains(data, []byte("<svg")) {
--- a/internal/emulator/scenario/fault.go
+++ b/internal/emulator/scenario/fault.go
@@ -9,9 +9,9 @@
 	"pinedale/internal/emulator/plan"
 )
 
-// minStart is the earliest start of a server that joins during a run: an incarnation that starts at 0 was there
-// before.
-const minStart = time.Millisecond
+// minEventTime is the earliest time at which a fault starts or drains a server: a server whose incarnation starts at 0
+// was running before the run, and an incarnation cannot drain at its own start.
+const minEventTime = time.Millisecond
 
 // addFault adds one fault to a plan.
 func (f *File) addFault(s *plan.Scenario, rng *rand.Rand, fault *Fault) {
@@ -31,14 +31,14 @@
 	case FaultCrash:
 		fault.crashServers(s, fault.drawServers(s, rng))
 	case FaultServerStart:
-		incarnation := plan.Incarnation{From: max(from, minStart), Drain: plan.Never, End: plan.Never}
+		incarnation := plan.Incarnation{From: max(from, minEventTime), Drain: plan.Never, End: plan.Never}
 		for _, server := range fault.drawServers(s, rng) {
 			s.Servers[server].Incarnations = []plan.Incarnation{incarnation}
 		}
 	case FaultDrain, FaultRollingRestart:
 		fault.drainServers(s, fault.drawServers(s, rng))
 	case FaultInstanceKill:
-		s.Kills = append(s.Kills, plan.Kill{At: from, Instances: fault.draw(len(s.Instances), rng)})
+		s.Kills = append(s.Kills, plan.Kill{At: from, Instances: fault.drawIndexes(len(s.Instances), rng)})
 	case FaultKeyRotation:
 		s.Rotations = append(s.Rotations, plan.Rotation{From: from, Until: until})
 	case FaultSurge:
@@ -59,15 +59,15 @@
 	}
 }
 
-// draw returns a random part of count servers or instances, at least one of them.
-func (f *Fault) draw(count int, rng *rand.Rand) []int {
+// drawIndexes returns the indexes of a random part of count servers or instances, at least one of them.
+func (f *Fault) drawIndexes(count int, rng *rand.Rand) []int {
 	affected := max(1, int(f.AffectedRatio*float64(count)+0.5))
 	return rng.Perm(count)[:affected]
 }
 
 // drawServers returns the indexes of the servers that have the fault.
 func (f *Fault) drawServers(s *plan.Scenario, rng *rand.Rand) []int {
-	return f.draw(len(s.Servers), rng)
+	return f.drawIndexes(len(s.Servers), rng)
 }
 
 // addServerFault gives the fault to one server.
@@ -75,7 +75,7 @@
 	s.Servers[server].Faults = append(s.Servers[server].Faults, f.serverFault())
 }
 
-// serverFault returns the fault as the server model has it.
+// serverFault returns the fault in the form of the server model.
 func (f *Fault) serverFault() model.Fault {
 	fault := model.Fault{From: time.Duration(f.From), Until: time.Duration(f.Until)}
 	switch f.Kind {
@@ -93,7 +93,7 @@
 	return fault
 }
 
-// crashServers ends the processes of servers when the fault begins and restarts them after its restart delay.
+// crashServers ends the processes of servers at the start of the fault and restarts them after its restart delay.
 func (f *Fault) crashServers(s *plan.Scenario, servers []int) {
 	from := time.Duration(f.From)
 	for _, server := range servers {
@@ -108,13 +108,13 @@
 	}
 }
 
-// drainServers drains servers one after the other over the duration of the fault. A rolling restart starts each of
-// them again.
+// drainServers starts the drains of servers one after the other over the duration of the fault. A rolling restart
+// restarts each of them after its drain.
 func (f *Fault) drainServers(s *plan.Scenario, servers []int) {
 	from, until := time.Duration(f.From), time.Duration(f.Until)
 	for i, server := range servers {
 		offset := (until - from) * time.Duration(i) / time.Duration(len(servers))
-		drain := max(from+offset, minStart)
+		drain := max(from+offset, minEventTime)
 		incarnations := slices.Clone(s.Servers[server].Incarnations)
 		last := &incarnations[len(incarnations)-1]
 		if drain <= last.From || last.End != plan.Never {
--- a/internal/emulator/scenario/faultkind.go
+++ b/internal/emulator/scenario/faultkind.go
@@ -14,16 +14,16 @@
 	FaultNoResponse     FaultKind = "swallow"   // servers never answer a ratio of requests
 	FaultUnresponsive   FaultKind = "silent"    // servers answer neither requests nor probes
 	FaultSlow           FaultKind = "slow"      // servers work slower and answer probes as before
-	FaultCrash          FaultKind = "crash"     // servers stop at once and restart cold
+	FaultCrash          FaultKind = "crash"     // servers end without a drain and restart with slow start
 	FaultReset          FaultKind = "break"     // a ratio of requests loses its connection once its work is done
 	FaultSiteOutage     FaultKind = "cut_off"   // no server of a site answers
 	FaultSurge          FaultKind = "surge"     // the request rate is multiplied
 	FaultCostSurge      FaultKind = "costly"    // the work of a ratio of a class's requests is multiplied
-	FaultServerStart    FaultKind = "start"     // servers join the fleet cold
+	FaultServerStart    FaultKind = "start"     // servers join the fleet with slow start
 	FaultDrain          FaultKind = "drain"     // servers drain one after the other and stop
-	FaultInstanceKill   FaultKind = "kill"      // instances stop at once and restart without state
+	FaultInstanceKill   FaultKind = "kill"      // instances end without a drain and restart without state
 	FaultKeyRotation    FaultKind = "rotate"    // connections are replaced after a key rotation
-	FaultRollingRestart FaultKind = "restart"   // servers drain one after the other, stop and restart cold
+	FaultRollingRestart FaultKind = "restart"   // servers drain one after the other, stop and restart with slow start
 )
 
 // faultKeys are the keys of a fault that depend on its kind.
--- a/internal/emulator/scenario/file.go
+++ b/internal/emulator/scenario/file.go
@@ -2,11 +2,11 @@
 
 import "pinedale/internal/tomlfile"
 
-// Duration is a duration that the file states with its unit.
+// Duration is a duration that is written with its unit.
 type Duration = tomlfile.Duration
 
-// File is a decoded scenario file. The names of its keys are part of the file format and don't follow the names of
-// the fields.
+// File is a decoded scenario file. The keys are part of the file format; their names are independent of those of the
+// fields.
 type File struct {
 	Version    int             `toml:"version"`
 	Name       string          `toml:"name"`
@@ -34,11 +34,11 @@
 	CrossSite Duration `toml:"other"`
 }
 
-// Clients describes the load and the way clients retry.
+// Clients describes the load and how clients retry.
 type Clients struct {
 	Rate               float64  `toml:"rate"`      // new requests a second, without retries
 	RateVariation      float64  `toml:"uneven"`    // coefficient of variation of the rate over instances
-	Retries            int      `toml:"retries"`   // client retries of one request at most
+	Retries            int      `toml:"retries"`   // maximum number of client retries for one request
 	TimeoutRatio       float64  `toml:"try_share"` // timeout of one client attempt, relative to the deadline
 	AbandonAfter       Duration `toml:"give_up"`   // when clients disconnect before their timeout; 0 for never
 	AffinityKeys       int      `toml:"subjects"`  // distinct affinity keys of requests; 0 for none
@@ -46,7 +46,7 @@
 	RetryDelay         Duration `toml:"pause"`     // before a retry, unless the response asks for a longer one
 }
 
-// Limits bounds what an instance may do for one request.
+// Limits restricts what an instance may do for one request.
 type Limits struct {
 	MaxAttempts int  `toml:"attempts"`
 	NoHedging   bool `toml:"no_copies"`
@@ -65,7 +65,7 @@
 	DrainDuration        Duration `toml:"drain_for"` // time from the start of a drain to the end of the process
 }
 
-// Subset bounds the part of the fleet that each instance connects to. Without MinSize an instance uses every server.
+// Subset describes the part of the fleet that each instance connects to. Without MinSize an instance uses every server.
 type Subset struct {
 	MinSize     int     `toml:"floor"`
 	PerInFlight float64 `toml:"spread"` // additional servers for each request in flight
@@ -105,7 +105,7 @@
 	WorkVariation    float64     `toml:"cv"`   // coefficient of variation of the work
 }
 
-// Idempotency states whether a request of a class may run twice.
+// Idempotency states whether a second run of a request is harmless.
 type Idempotency string
 
 // The values of Idempotency in a file.
@@ -115,7 +115,7 @@
 	NotIdempotent     Idempotency = "unsafe"
 )
 
-// DedupScope states which servers share their record of idempotency keys.
+// DedupScope states which servers share a record of idempotency keys.
 type DedupScope string
 
 // The values of DedupScope in a file.
@@ -154,11 +154,11 @@
 	Kind          FaultKind `toml:"kind"`
 	From          Duration  `toml:"from"`
 	Until         Duration  `toml:"until"`
-	AffectedRatio float64   `toml:"part"`   // ratio of servers or instances that have the fault, drawn by the seed
-	RequestRatio  float64   `toml:"share"`  // ratio of requests that the fault hits
+	AffectedRatio float64   `toml:"part"`   // ratio of servers or instances affected, which are drawn from the seed
+	RequestRatio  float64   `toml:"share"`  // ratio of requests affected
 	Factor        float64   `toml:"factor"` // multiple of the rate, the work or the service time
 	Class         string    `toml:"class"`
 	Site          string    `toml:"site"`
-	Tenant        string    `toml:"tenant"` // tenant of a surge; empty for all
+	Tenant        string    `toml:"tenant"` // tenant of a surge; empty for all tenants
 	RestartDelay  Duration  `toml:"gap"`    // time from the end of a process to its restart
 }
--- a/internal/emulator/scenario/html.go
+++ b/internal/emulator/scenario/html.go
@@ -32,7 +32,7 @@
 func (f *File) WriteHTML(out io.Writer, s *plan.Scenario, r *plan.Result) error {
 	page := reportPage{
 		Name: f.Name,
-		Summary: fmt.Sprintf("seed %d: G %.3f, %.1f%% served in time, %.1f%% of the worth earned in the worst 10 s",
+		Summary: fmt.Sprintf("seed %d: G %.3f, %.1f%% served in time, %.1f%% of the value earned in the worst 10 s",
 			s.Seed, s.Score(r), 100*r.InTime(), 100*s.WorstWindow(r)),
 		Violations: r.Violations(),
 		Plots:      []plot{f.requestPlot(r), f.latencyPlot(r), f.attemptPlot(s, r)},
--- a/internal/emulator/scenario/machine.go
+++ b/internal/emulator/scenario/machine.go
@@ -8,7 +8,7 @@
 )
 
 // A warming server collapses when the work that it is sent within overloadWindow exceeds overloadMultiple times its
-// capacity at that moment. The instances know both figures from their contract.
+// capacity at that moment. Both figures are part of the contract that is configured on the instances.
 const (
 	overloadMultiple = 2.5
 	overloadWindow   = time.Second
--- a/internal/emulator/scenario/plan.go
+++ b/internal/emulator/scenario/plan.go
@@ -12,7 +12,7 @@
 	"pinedale/internal/upstream/handshake"
 )
 
-// Settings of the instances that scenario files don't state.
+// Settings of the instances that are not part of a scenario file.
 const (
 	maxOpenRequests     = 20_000
 	maxRetryAfter       = 1500 * time.Millisecond
@@ -27,10 +27,10 @@
 // scoreGoal weights the parts of a run's score.
 var scoreGoal = balancer.Goal{Overall: 0.45, WorstWindow: 0.35, WorstClass: 0.2}
 
-// faultSeedStream is the stream of the random numbers that draw the servers and instances of faults.
+// faultSeedStream is the stream of random numbers that selects the servers and instances affected by faults.
 const faultSeedStream = 99
 
-// Plan returns the scenario that the file describes. A seed other than 0 replaces the file's.
+// Plan returns the scenario described by the file. A seed other than 0 replaces the seed of the file.
 func (f *File) Plan(seed uint64) *plan.Scenario {
 	if seed == 0 {
 		seed = f.Seed
@@ -111,7 +111,7 @@
 	return class
 }
 
-// settings returns the settings that all instances share. addServers completes the contract on slow start.
+// settings returns the settings shared by all instances. addServers adds the slow start terms of the contract.
 func (f *File) settings() balancer.Settings {
 	return balancer.Settings{
 		Fields: []balancer.Field{balancer.FieldErrors, balancer.FieldQueue},
@@ -139,8 +139,8 @@
 	}
 }
 
-// addServers adds the machine kinds and the servers. The instances' contract on slow start is that of the slowest
-// kind of machine in the fleet.
+// addServers adds the machine kinds and the servers. The instances' contract has the lowest slow start ratio and the
+// longest slow start time of the machine kinds in the fleet.
 func (f *File) addServers(s *plan.Scenario) {
 	for i := range f.Machines {
 		machine := &f.Machines[i]
--- a/internal/emulator/scenario/plan_test.go
+++ b/internal/emulator/scenario/plan_test.go
@@ -45,7 +45,7 @@
 count = 2
 `
 
-// planWith returns the plan of the scenario with a fault.
+// planWith returns the plan of the scenario fleetText with one more fault.
 func planWith(t *testing.T, fault string) *plan.Scenario {
 	t.Helper()
 	file, err := Parse([]byte(fleetText + "[[trouble]]\n" + fault))
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	if got := file.Plan(0).Seed; got != 3 {
-		t.Errorf("seed %d without another, want that of the file, 3", got)
+		t.Errorf("seed %d with no seed given, want 3, the seed of the file", got)
 	}
 	if got := file.Plan(8).Seed; got != 8 {
 		t.Errorf("seed %d, want 8", got)
@@ -112,7 +112,7 @@
 	var drains []time.Duration
 	for i, server := range s.Servers {
 		if len(server.Incarnations) != 2 {
-			t.Fatalf("server %d has the incarnations %+v, want two", i, server.Incarnations)
+			t.Fatalf("server %d has the incarnations %+v, want 2", i, server.Incarnations)
 		}
 		first, second := server.Incarnations[0], server.Incarnations[1]
 		if first.End != first.Drain+4*time.Second || second.From != first.End+2*time.Second {
--- a/internal/emulator/scenario/plot.go
+++ b/internal/emulator/scenario/plot.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// maxPlotRows bounds the rows of the plot of attempts: servers of a larger fleet share rows.
+	// maxPlotRows limits the rows of the plot of attempts: the servers of a larger fleet share rows.
 	maxPlotRows = 60
-	// minMarkSeconds is the least width of a mark: a fault may last no time.
+	// minMarkSeconds is the minimum width of a mark, for faults without a duration.
 	minMarkSeconds = 0.3
 	// minScale avoids a division by zero where all values of a plot are 0.
 	minScale = 1e-9
@@ -35,7 +35,7 @@
 	colourBlue   = "#2b6cb0"
 )
 
-// plot is one picture over the seconds of a run. It has curves or cells.
+// plot is one diagram over the seconds of a run. It has either curves or cells.
 type plot struct {
 	Title, Top    string
 	Width, Height float64
@@ -44,28 +44,28 @@
 	Cells         []cell
 }
 
-// mark highlights the duration of a fault.
+// mark highlights the interval of a fault.
 type mark struct {
 	X, Width float64
 	Name     string
 }
 
-// curve is a polyline of one value a second.
+// curve is a polyline with one point for each second.
 type curve struct{ Points, Colour, Name string }
 
-// cell is one rectangle of a heat map; Shade is its opacity.
+// cell is one rectangle of a heat map. Shade is its opacity, from 0 to 1.
 type cell struct {
 	X, Y, Width, Height, Shade float64
 	Name                       string
 }
 
-// series is the data of a curve.
+// series gives the values of a curve.
 type series struct {
 	name, colour string
 	value        func(*plan.Second) float64
 }
 
-// tallySeries returns the series of one count of all classes.
+// tallySeries returns the series of one of the counts in a tally, summed over all classes.
 func tallySeries(name, colour string, count func(plan.Tally) int) series {
 	value := func(s *plan.Second) float64 { return float64(count(s.Total())) }
 	return series{name: name, colour: colour, value: value}
@@ -79,7 +79,7 @@
 
 // requestPlot plots the outcomes of requests.
 func (f *File) requestPlot(r *plan.Result) plot {
-	return f.curvePlot(r, "Requests a second, by the second of their first try", "a second", []series{
+	return f.curvePlot(r, "Requests per second, by the second of their first client attempt", "a second", []series{
 		tallySeries("asked", colourGrey, func(t plan.Tally) int { return t.Requested }),
 		tallySeries("in time", colourGreen, func(t plan.Tally) int { return t.InTime }),
 		tallySeries("late", colourAmber, func(t plan.Tally) int { return t.Late }),
@@ -90,7 +90,7 @@
 
 // latencyPlot plots quantiles of the response time.
 func (f *File) latencyPlot(r *plan.Result) plot {
-	return f.curvePlot(r, "Time to the answer, of those served", "ms", []series{
+	return f.curvePlot(r, "Response time of successful requests", "ms", []series{
 		quantileSeries("median", colourGreen, 0.5),
 		quantileSeries("95th percentile", colourBlue, 0.95),
 		quantileSeries("99th percentile", colourRed, 0.99),
@@ -98,21 +98,21 @@
 }
 
 // curvePlot draws each series as a curve, all on one scale.
-func (f *File) curvePlot(r *plan.Result, title, unit string, data []series) plot {
+func (f *File) curvePlot(r *plan.Result, title, unit string, curves []series) plot {
 	highest := 0.0
-	for _, s := range data {
+	for _, s := range curves {
 		for i := range r.Seconds {
 			highest = max(highest, s.value(&r.Seconds[i]))
 		}
 	}
 	p := plot{
 		Title:  title,
-		Top:    fmt.Sprintf("top: %.0f %s", highest, unit),
+		Top:    fmt.Sprintf("maximum: %.0f %s", highest, unit),
 		Width:  plotWidth,
 		Height: plotHeight,
 		Marks:  f.marks(r),
 	}
-	for _, s := range data {
+	for _, s := range curves {
 		p.Curves = append(p.Curves, curve{Points: s.points(r, highest), Colour: s.colour, Name: s.name})
 	}
 	return p
@@ -154,8 +154,8 @@
 		rows = append(rows, row)
 	}
 	p := plot{
-		Title:  "Attempts a second, by server",
-		Top:    fmt.Sprintf("darkest: %.0f", highest),
+		Title:  "Attempts per second, by server",
+		Top:    fmt.Sprintf("darkest cell: %.0f", highest),
 		Width:  plotWidth,
 		Height: float64(len(rows)) * rowHeight,
 	}
@@ -181,7 +181,7 @@
 	return p
 }
 
-// attemptsPerSecond sums the attempts at the servers from first to before end in each second.
+// attemptsPerSecond returns, for each second, the sum of the attempts at the servers from index first up to before end.
 func attemptsPerSecond(r *plan.Result, first, end int) []float64 {
 	sums := make([]float64, len(r.Seconds))
 	for i := range r.Seconds {
--- a/internal/emulator/scenario/scenario.go
+++ b/internal/emulator/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario reads scenario files. A scenario describes a fleet of servers, the load that clients put on it,
-// the way clients retry, and a timeline of faults. Plan turns a file into a plan.Scenario that a simulation runs;
-// WriteText and WriteHTML report the result of a run.
+// Package scenario reads scenario files. A scenario describes a fleet of servers, the load from clients, how clients
+// retry, and a timeline of faults. File.Plan turns a file into a plan.Scenario that a simulation runs; File.WriteText
+// and File.WriteHTML report the result of a run.
 package scenario
 
 import (
@@ -16,7 +16,7 @@
 	maxFileBytes = 1 << 20
 )
 
-// Defaults of keys that a scenario file may leave out.
+// Defaults of optional keys.
 const (
 	defaultSeed         = 1
 	defaultPodSize      = 4
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -16,15 +16,15 @@
 	"pinedale/internal/upstream/handshake"
 )
 
-// minScenarios is the least number of scenarios that the library has.
+// minScenarios is the minimum number of scenarios in the library, the folder scenarios.
 const minScenarios = 9
 
-// loadLibrary loads the scenarios of the library by their names.
+// loadLibrary loads the scenarios of the library, by name.
 func loadLibrary(t *testing.T) map[string]*File {
 	t.Helper()
 	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < minScenarios {
-		t.Fatalf("the library has the files %v, error %v", paths, err)
+		t.Fatalf("the library has the files %v, want at least %d; error %v", paths, minScenarios, err)
 	}
 	library := map[string]*File{}
 	for _, path := range paths {
@@ -47,8 +47,8 @@
 	return result
 }
 
-// checkInTime checks that a run has no violation and served a ratio of its requests in time. The ratio is 0 if the
-// scenario has no bound, which is an error.
+// checkInTime checks that a run has no violation and served at least the ratio lowest of its requests in time. A ratio
+// of 0 means that the scenario has no bound, which is an error.
 func checkInTime(t *testing.T, result *plan.Result, lowest float64) {
 	t.Helper()
 	if violations := result.Violations(); violations != "" {
@@ -62,13 +62,13 @@
 	}
 }
 
-// raceEnabled is true if the race detector is on. A simulation has one goroutine and takes ten times as long with
-// it: only one of the full-size scenarios runs then, and .ci/run runs all of them without it.
+// raceEnabled is true if the race detector is on. A simulation has one goroutine and takes ten times as long with the
+// race detector: only one of the full-size scenarios runs with it, and .ci/run runs all of them without it.
 var raceEnabled bool
 
-// The full-size scenarios have hundreds of instances with sparse and uneven traffic. The bound of each scenario is
-// the ratio that it served in time when the bound was set, less the variation between seeds. The figures by change
-// are in docs/design/full-size.md.
+// The full-size scenarios have hundreds of instances with sparse and uneven traffic. The bound of each scenario is the
+// ratio that it served in time when the bound was set, less the variation between seeds. docs/design/full-size.md has
+// the figures after each change.
 func TestFullSizeScenariosServeInTime(t *testing.T) {
 	minInTime := map[string]float64{
 		"many-at-once":  0.98,
@@ -81,7 +81,7 @@
 	}
 	paths, err := filepath.Glob("../../../scenarios/full-size/*.toml")
 	if err != nil || len(paths) != len(minInTime) {
-		t.Fatalf("%d scenarios, %v", len(paths), err)
+		t.Fatalf("%d full-size scenarios, want %d; error %v", len(paths), len(minInTime), err)
 	}
 	for _, path := range paths {
 		file, err := Load(path)
@@ -90,7 +90,7 @@
 		}
 		t.Run(file.Name, func(t *testing.T) {
 			if raceEnabled && file.Name != "many-killed" {
-				t.Skip("runs without the race detector only")
+				t.Skip("this scenario runs without the race detector only")
 			}
 			t.Parallel()
 			checkInTime(t, simulate(t, file.Plan(0)), minInTime[file.Name])
@@ -98,8 +98,8 @@
 	}
 }
 
-// Every scenario of the library runs without a violation, serves at least its bound, is reproducible and can be
-// reported as text and HTML.
+// Every scenario of the library runs without a violation, serves at least the ratio of its bound in time, is
+// reproducible and can be reported as text and HTML.
 func TestLibraryScenariosServeInTimeAndRepeat(t *testing.T) {
 	minInTime := map[string]float64{
 		"calm":             0.98,
@@ -123,7 +123,7 @@
 			result := simulate(t, s)
 			checkInTime(t, result, minInTime[name])
 			if repeated := simulate(t, file.Plan(0)); !reflect.DeepEqual(result, repeated) {
-				t.Error("the second run has another result")
+				t.Error("a second run of the same scenario had another result")
 			}
 			checkReports(t, file, s, result)
 			t.Logf("G %.3f, in time %.3f, connections %d",
@@ -132,7 +132,7 @@
 	}
 }
 
-// checkReports checks that the reports are complete and that the page loads nothing.
+// checkReports checks that the text report and the HTML page are complete and that the page loads no external resource.
 func checkReports(t *testing.T, file *File, s *plan.Scenario, result *plan.Result) {
 	t.Helper()
 	var text, page bytes.Buffer
@@ -142,13 +142,14 @@
 	}
 	loadsNothing := !strings.Contains(page.String(), "http")
 	hasPlots := strings.Contains(page.String(), "polyline")
-	if !strings.Contains(text.String(), "no rule broken") || !hasPlots || !loadsNothing {
-		t.Errorf("the reports: %s%s", text.String(), page.String())
+	if !strings.Contains(text.String(), "no violations") || !hasPlots || !loadsNothing {
+		t.Errorf("want no violations, plots, and no external resources in the reports:\n%s%s",
+			text.String(), page.String())
 	}
 }
 
-// A key rotation that is spread over time and limited by a handshake budget costs almost nothing. The same rotation
-// all at once and without a budget takes the fleet down; with only one of the two the cost is in between.
+// A key rotation that is spread over time and limited by a handshake budget costs almost nothing. The same rotation at
+// one instant and without a budget overloads the whole fleet; with only one of the two, the cost is in between.
 func TestKeyRotationNeedsSpreadAndHandshakeBudget(t *testing.T) {
 	file := loadLibrary(t)["key-rotation"]
 	s := file.Plan(0)
@@ -161,7 +162,7 @@
 		s.Rotations, s.Budget = rotations, budget
 		result, err := simulation.Run(s, simulation.Options{})
 		if err != nil || result.Handshakes == 0 {
-			t.Fatal(err, result.Handshakes)
+			t.Fatalf("error %v, %d handshakes, want no error and at least one handshake", err, result.Handshakes)
 		}
 		return s.Score(result)
 	}
@@ -171,16 +172,16 @@
 	budgetOnly := score(atOnce, budget)
 	neither := score(atOnce, nil)
 	if both < withoutRotation-0.01 {
-		t.Errorf("G %.3f with a rotation, %.3f without", both, withoutRotation)
+		t.Errorf("G %.3f with a rotation, want at most 0.01 less than %.3f without", both, withoutRotation)
 	}
 	if neither > both-0.3 || spreadOnly < neither+0.3 || budgetOnly < neither+0.3 {
-		t.Errorf("G %.3f spread and with a budget, %.3f spread, %.3f with a budget, %.3f with neither",
+		t.Errorf("G %.3f with spread and budget, %.3f with spread only, %.3f with budget only, %.3f with neither",
 			both, spreadOnly, budgetOnly, neither)
 	}
 }
 
-// Many instances with little traffic that connect to a subset of a large fleet serve as well as those that connect to
-// every server, with at most a third of the connections.
+// Many instances with little traffic that connect to a subset of a large fleet have the same score as instances that
+// connect to every server, with at most a third of the connections.
 func TestSubsetServesWithThirdOfConnections(t *testing.T) {
 	file := loadLibrary(t)["quiet-instances"]
 	s := file.Plan(0)
@@ -192,13 +193,16 @@
 		t.Error(violations)
 	}
 	if s.Score(subset) < s.Score(fleet)-0.005 {
-		t.Errorf("G %.3f, %.3f with the whole fleet", s.Score(subset), s.Score(fleet))
+		t.Errorf("G %.3f with a subset, want at most 0.005 less than %.3f with the whole fleet",
+			s.Score(subset), s.Score(fleet))
 	}
 	if 3*subset.Connections > fleet.Connections {
-		t.Errorf("%d connections, %d with the whole fleet", subset.Connections, fleet.Connections)
+		t.Errorf("%d connections with a subset, want at most a third of %d with the whole fleet",
+			subset.Connections, fleet.Connections)
 	}
 	if subset.Handshakes >= fleet.Handshakes {
-		t.Errorf("%d handshakes, %d with the whole fleet", subset.Handshakes, fleet.Handshakes)
+		t.Errorf("%d handshakes with a subset, want fewer than %d with the whole fleet",
+			subset.Handshakes, fleet.Handshakes)
 	}
 }
 
@@ -243,12 +247,12 @@
 		t.Run(test.new, func(t *testing.T) {
 			invalid := strings.Replace(string(valid), test.old, test.new, 1)
 			if invalid == string(valid) {
-				t.Fatalf("%q is not in the file", test.old)
+				t.Fatalf("the scenario does not contain %q", test.old)
 			}
 			_, err := Parse([]byte(invalid))
 			var keyError *tomlfile.Error
 			if !errors.As(err, &keyError) || !strings.Contains(err.Error(), test.key+":") {
-				t.Errorf("error %v, want one of the key %s", err, test.key)
+				t.Errorf("error %v, want a *tomlfile.Error for the key %s", err, test.key)
 			}
 		})
 	}
@@ -265,7 +269,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		file, err := Parse(data)
 		if (file == nil) == (err == nil) {
-			t.Errorf("file %v with error %v", file, err)
+			t.Errorf("file %v with error %v, want exactly one of the two", file, err)
 		}
 	})
 }
--- a/internal/emulator/scenario/text.go
+++ b/internal/emulator/scenario/text.go
@@ -13,18 +13,18 @@
 	if len(f.Tenants) > 0 {
 		writeTallies(out, "tenant", f.tenantNames(), r.Tenants)
 	}
-	fmt.Fprintf(out, "G %.3f; in time %.1f%%, worth earned in the worst 10 s %.1f%%\n",
+	fmt.Fprintf(out, "G %.3f; served in time %.1f%%, value earned in the worst 10 s %.1f%%\n",
 		s.Score(r), 100*r.InTime(), 100*s.WorstWindow(r))
-	fmt.Fprintf(out, "tries %d; attempts by server %v; probes %d; connections at most %d\n",
+	fmt.Fprintf(out, "client attempts %d; attempts by server %v; probes %d; connections at most %d\n",
 		r.ClientAttempts, r.Attempts, r.Probes, r.Connections)
 	if r.Handshakes > 0 {
-		fmt.Fprintf(out, "handshakes %d, %d at one server in its busiest second; without a turn %d\n",
+		fmt.Fprintf(out, "handshakes %d, at most %d at one server in one second; refused by the handshake budget %d\n",
 			r.Handshakes, r.PeakHandshakes, r.HandshakesDenied)
 	}
 	if violations := r.Violations(); violations != "" {
-		fmt.Fprintf(out, "BROKEN: %s\n", violations)
+		fmt.Fprintf(out, "VIOLATIONS: %s\n", violations)
 	} else {
-		fmt.Fprintln(out, "no rule broken")
+		fmt.Fprintln(out, "no violations")
 	}
 }
 
