--- a/internal/emulator/baselines/baselines.go
+++ b/internal/emulator/baselines/baselines.go
@@ -1,6 +1,6 @@
-// Package baselines has load balancing policies that a user would choose in place of the decision module: random
+// Package baselines provides load balancing policies that a user could choose in place of the decision module: random
 // choice, the less loaded of two endpoints, and weighted round robin. Simulations compare the module with them. The
-// policies choose endpoints; their retry rule is the one that proxies commonly have.
+// policies choose endpoints; all of them retry by the rule that is common among proxies.
 package baselines
 
 import (
@@ -20,10 +20,10 @@
 // NewDecider creates the decider of an engine.
 type NewDecider = func(balancer.Settings, uint64, balancer.Actions) (engine.Decider, error)
 
-// picker chooses one of the ready endpoints of a decider, which has at least one.
+// picker chooses one of the ready endpoints of a decider. There is at least one.
 type picker interface{ pick(d *decider) uint32 }
 
-// newPickers creates the picker of each policy. weights are those of the machine kinds.
+// newPickers creates the picker of each policy. weights holds the weight of each machine kind.
 var newPickers = map[string]func(weights []float64) picker{
 	"random":        func([]float64) picker { return random{} },
 	"least-request": func([]float64) picker { return leastRequest{} },
@@ -32,7 +32,7 @@
 	},
 }
 
-// UnknownPolicyError is the error of a name that is not one of Names.
+// UnknownPolicyError is the error for a name that is not one of Names.
 type UnknownPolicyError struct{ Name string }
 
 func (e *UnknownPolicyError) Error() string {
@@ -44,8 +44,8 @@
 	return append([]string{Module}, slices.Sorted(maps.Keys(newPickers))...)
 }
 
-// Named returns a policy by its name, nil for Module. weights are those of the machine kinds, as an operator would set
-// them. The error is an *UnknownPolicyError.
+// Named returns the policy with a name, nil for Module. weights holds the weight of each machine kind, as an operator
+// would configure it. The error is an *UnknownPolicyError.
 func Named(name string, weights []float64) (NewDecider, error) {
 	if name == Module {
 		return nil, nil
@@ -59,7 +59,7 @@
 	}, nil
 }
 
-// seedStream is the stream of the random numbers of pickers.
+// seedStream is the stream of the random numbers of pickers, derived from the seed.
 const seedStream = 5
 
 func newDecider(settings balancer.Settings, seed uint64, actions balancer.Actions, p picker) *decider {
--- a/internal/emulator/baselines/baselines_test.go
+++ b/internal/emulator/baselines/baselines_test.go
@@ -7,7 +7,7 @@
 	"pinedale/balancer"
 )
 
-// deadline is the deadline of the tests' requests.
+// deadline is the deadline of the requests in the tests.
 const deadline = balancer.Micros(1_000_000)
 
 // recordedActions records attempts and the final outcomes of requests.
@@ -27,7 +27,7 @@
 // newTestDecider returns a decider of a policy with two endpoints of different kinds, and its actions.
 func newTestDecider(t *testing.T, policy string, weights []float64) (*decider, *recordedActions) {
 	t.Helper()
-	decide, err := Named(policy, weights)
+	create, err := Named(policy, weights)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 			{Idempotency: balancer.NotIdempotent},
 		},
 	}
-	created, err := decide(settings, 1, actions)
+	created, err := create(settings, 1, actions)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	_, err := Named("best", nil)
 	var unknown *UnknownPolicyError
 	if !errors.As(err, &unknown) || unknown.Name != "best" {
-		t.Errorf("error %v, want an UnknownPolicyError of best", err)
+		t.Errorf("error %v, want an UnknownPolicyError with the name best", err)
 	}
 }
 
--- a/internal/emulator/baselines/decider.go
+++ b/internal/emulator/baselines/decider.go
@@ -7,15 +7,15 @@
 	"pinedale/balancer"
 )
 
-// decider decides for an engine by a picker. It implements engine.Decider.
+// decider is an engine.Decider that chooses endpoints with a picker.
 type decider struct {
 	settings balancer.Settings
 	actions  balancer.Actions
 	picker   picker
 	rng      *rand.Rand
-	ready    []uint32         // endpoints that may get requests
-	kinds    map[uint32]uint8 // of machine, by endpoint
-	inFlight map[uint32]int   // attempts, by endpoint
+	ready    []uint32         // endpoints that may receive requests
+	kinds    map[uint32]uint8 // machine kind by endpoint
+	inFlight map[uint32]int   // number of attempts in flight by endpoint
 	requests map[uint64]*request
 }
 
@@ -25,16 +25,16 @@
 	attempts     int
 	endpoint     uint32 // of the latest attempt
 	mayHaveRun   bool
-	disconnected bool // the client has left or has its response
+	disconnected bool // the client has disconnected or has its response
 }
 
 // Start implements engine.Decider and does nothing.
 func (d *decider) Start(balancer.Micros) {}
 
-// TimerFired implements engine.Decider: a decider sets no timers.
+// TimerFired implements engine.Decider and does nothing: a decider sets no timers.
 func (d *decider) TimerFired(balancer.Micros, uint32) {}
 
-// ProbeCompleted implements engine.Decider: a decider sends no probes.
+// ProbeCompleted implements engine.Decider and does nothing: a decider sends no probes.
 func (d *decider) ProbeCompleted(balancer.Micros, uint32, balancer.Status, balancer.Micros, []float32) {
 }
 
@@ -68,7 +68,7 @@
 	d.send(r)
 }
 
-// send starts an attempt. A retry goes to another endpoint if the second pick gives one.
+// send starts an attempt. A retry picks a second time if the first pick is the endpoint of the previous attempt.
 func (d *decider) send(r *request) {
 	if len(d.ready) == 0 {
 		d.finish(r)
@@ -94,7 +94,7 @@
 	}
 }
 
-// Expire fails a request at its deadline: the attempt in flight may have run.
+// Expire fails a request at its deadline, as the attempt in flight may have run.
 func (d *decider) Expire(_ balancer.Micros, id uint64) {
 	if r := d.requests[id]; r != nil && !r.disconnected {
 		r.disconnected = true
@@ -123,7 +123,7 @@
 }
 
 // retryable reports whether a request may run again after an attempt with this status, and records whether it may have
-// run. A request that certainly did not run may run again, and so may a failed one that is idempotent.
+// run. A request that certainly did not run may run again, and so may an idempotent request that failed.
 func (d *decider) retryable(r *request, status balancer.Status) bool {
 	class := &d.settings.Classes[r.Class]
 	idempotent := class.Idempotency == balancer.Idempotent ||
--- a/internal/emulator/baselines/picker.go
+++ b/internal/emulator/baselines/picker.go
@@ -1,11 +1,11 @@
 package baselines
 
-// random picks any endpoint.
+// random picks a random endpoint.
 type random struct{}
 
 func (random) pick(d *decider) uint32 { return d.ready[d.rng.IntN(len(d.ready))] }
 
-// leastRequest picks the one of two random endpoints that has fewer attempts in flight (Mitzenmacher, "The Power of
+// leastRequest picks the one with fewer attempts in flight of two random endpoints (Mitzenmacher, "The Power of
 // Two Choices in Randomized Load Balancing", 2001).
 type leastRequest struct{}
 
@@ -18,14 +18,14 @@
 	return first
 }
 
-// weightedRoundRobin is smooth weighted round robin: each pick credits every endpoint with its weight, and the endpoint
-// with the most credit pays the sum of the weights.
+// weightedRoundRobin is smooth weighted round robin: each pick adds the weight of every endpoint to its credit, picks
+// the endpoint with the most credit, and subtracts the sum of the weights from that endpoint's credit.
 type weightedRoundRobin struct {
 	weights []float64 // by kind of machine
 	credits map[uint32]float64
 }
 
-// defaultWeight is the weight of an endpoint whose kind has none.
+// defaultWeight is the weight of an endpoint whose machine kind has no weight.
 const defaultWeight = 1.0
 
 func (w *weightedRoundRobin) pick(d *decider) uint32 {
--- a/internal/emulator/trace/golden_test.go
+++ b/internal/emulator/trace/golden_test.go
@@ -23,7 +23,7 @@
 `,
 }
 
-// goldenEvents have every kind of event, one event with every field set, and one with as few fields as possible.
+// goldenEvents has every kind of event, one event with every field set, and one with as few fields as possible.
 var goldenEvents = []Event{
 	{
 		At:       1,
@@ -44,7 +44,7 @@
 	{At: 1<<53 + 1, Kind: KindCollapse}, // not representable as a floating-point number
 }
 
-// writeTrace returns a complete trace as it is in a file.
+// writeTrace returns the bytes of a complete trace.
 func writeTrace(t *testing.T, header Header, events []Event) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -79,7 +79,7 @@
 		t.Fatal(err)
 	}
 	wantHeader := goldenHeader
-	wantHeader.FormatVersion = 1 // the literal: the version of the file does not follow the constant
+	wantHeader.FormatVersion = 1 // a literal, so that a change of Version does not change the expected version
 	if header != wantHeader {
 		t.Errorf("read header %+v, want %+v", header, wantHeader)
 	}
@@ -87,6 +87,6 @@
 		t.Errorf("read events %+v, want %+v", events, goldenEvents)
 	}
 	if written := writeTrace(t, header, events); !bytes.Equal(written, golden) {
-		t.Errorf("written %s\nwant %s", written, golden)
+		t.Errorf("wrote %s\nwant %s", written, golden)
 	}
 }
--- a/internal/emulator/trace/reader.go
+++ b/internal/emulator/trace/reader.go
@@ -8,15 +8,15 @@
 	"io"
 )
 
-// Errors of an invalid trace. A LineError wraps each of them.
+// Errors for an invalid trace. A LineError wraps each of them.
 var (
 	ErrEmpty        = errors.New("the trace is empty")
-	ErrTruncated    = errors.New("the trace ends without its end: it was cut off")
+	ErrTruncated    = errors.New("the trace is truncated: its end line is missing")
 	ErrTrailingData = errors.New("data follows the end of the trace")
-	ErrNoKind       = errors.New("k: is missing")
+	ErrNoKind       = errors.New("k: missing event kind")
 )
 
-// LineError is the error of one line of a trace.
+// LineError is an error in one line of a trace.
 type LineError struct {
 	Line int
 	Err  error
@@ -28,10 +28,10 @@
 func (e *LineError) Unwrap() error { return e.Err }
 
 const (
-	// maxLineBytes bounds a line. The header holds the text of a scenario of up to 1 MB, in which a character may
-	// take six bytes.
+	// maxLineBytes limits the length of a line. The header holds the text of a scenario of up to 1 MB, and JSON may
+	// encode a character in six bytes.
 	maxLineBytes = 6<<20 + 1<<16
-	// initialBufferBytes is the size of a reader's buffer before a longer line.
+	// initialBufferBytes is the initial size of a reader's buffer, which grows for longer lines.
 	initialBufferBytes = 1 << 16
 )
 
@@ -39,7 +39,7 @@
 type Reader struct {
 	Header   Header
 	scanner  *bufio.Scanner
-	line     int // read last
+	line     int // number of the last line read
 	events   int // read so far
 	finished bool
 }
@@ -61,10 +61,10 @@
 	return r, nil
 }
 
-// validate checks the version and the host.
+// validate checks the format version and the host.
 func (h *Header) validate() error {
 	if h.FormatVersion != Version {
-		return fmt.Errorf("pinedale_trace: %d is not a known version of this format; this program reads %d",
+		return fmt.Errorf("pinedale_trace: unsupported format version %d; this program reads version %d",
 			h.FormatVersion, Version)
 	}
 	if h.Host != Virtual && h.Host != Sockets {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// Line returns the number of the line read last.
+// Line returns the number of the last line read.
 func (r *Reader) Line() int { return r.line }
 
 // Read returns the next event, and io.EOF after the last one of a complete trace.
@@ -115,10 +115,11 @@
 	return line.Event, nil
 }
 
-// finish checks the end of the trace, which states the number of its events. It returns io.EOF for a complete trace.
+// finish checks the end line, which states the number of events. It returns io.EOF for a complete trace.
 func (r *Reader) finish(stated int) error {
 	if stated != r.events {
-		return &LineError{Line: r.line, Err: fmt.Errorf("events: says %d, %d are there", stated, r.events)}
+		return &LineError{Line: r.line, Err: fmt.Errorf("events: the end line states %d, but %d were read",
+			stated, r.events)}
 	}
 	r.finished = true
 	if r.scanner.Scan() {
--- a/internal/emulator/trace/trace.go
+++ b/internal/emulator/trace/trace.go
@@ -1,18 +1,17 @@
 // Package trace records a run of the emulator as lines of JSON: a header with the scenario and its seed, one line for
-// each event in order, and an end with the number of events, without which a trace is incomplete.
+// each event in order, and an end line with the number of events. A trace without its end line is incomplete.
 package trace
 
 // Version is the version of the format.
 const Version = 1
 
-// Hosts of a run.
+// The hosts that a run can have.
 const (
 	Virtual = "virtual" // virtual time
 	Sockets = "sockets" // loopback sockets and the system's clock
 )
 
-// Header is the first line of a trace. It holds the text of the scenario file, so that the trace is all that a replay
-// needs.
+// Header is the first line of a trace. It holds the text of the scenario file, so that a replay needs only the trace.
 type Header struct {
 	FormatVersion int    `json:"pinedale_trace"`
 	Host          string `json:"host"`
@@ -29,22 +28,22 @@
 	KindRequest    Kind = "ask"    // a client sends an attempt to an instance
 	KindAttempt    Kind = "send"   // the instance sends an attempt to a server
 	KindAttemptEnd Kind = "end"    // the instance has the result of an attempt; Code is its balancer.Status
-	KindResponse   Kind = "answer" // the client has the response; Code is 0 if the client disconnected before
+	KindResponse   Kind = "answer" // the client has the response; Code is 0 if the client disconnected before it
 	KindEndpoint   Kind = "member" // an instance learns of a server's state: Code 0 ready, 1 draining, 2 removed
-	KindCollapse   Kind = "fall"   // a server collapses
+	KindCollapse   Kind = "fall"   // a warming server collapses under overload
 )
 
-// Event is one event of a run. Servers, instances and classes count from 1; 0 stands for none.
+// Event is one event of a run. Servers, instances and classes are numbered from 1; 0 means none.
 type Event struct {
-	At       int64  `json:"t"` // microseconds since the start
+	At       int64  `json:"t"` // microseconds since the start of the run
 	Kind     Kind   `json:"k"`
 	Number   uint64 `json:"n,omitempty"` // of the request
 	Try      int    `json:"y,omitempty"` // number of the client attempt, from 1
-	Attempt  int    `json:"a,omitempty"` // number of the attempt for this client attempt, from 1
+	Attempt  int    `json:"a,omitempty"` // number of the attempt within the client attempt, from 1
 	Instance int    `json:"i,omitempty"`
 	Server   int    `json:"s,omitempty"`
 	Class    int    `json:"c,omitempty"`
-	Code     int    `json:"r,omitempty"` // of a response, an attempt's end or an endpoint
+	Code     int    `json:"r,omitempty"` // of a response, an attempt's result or an endpoint's state
 }
 
 // end is the last line of a trace.
--- a/internal/emulator/trace/trace_test.go
+++ b/internal/emulator/trace/trace_test.go
@@ -41,7 +41,8 @@
 	want := testHeader
 	want.FormatVersion = Version
 	if err != nil || header != want || !reflect.DeepEqual(events, testEvents) {
-		t.Errorf("%+v, %+v, %v", header, events, err)
+		t.Errorf("read header %+v, events %+v, error %v\nwant header %+v, events %+v",
+			header, events, err, want, testEvents)
 	}
 }
 
@@ -69,13 +70,13 @@
 	}{
 		"empty":           {"", "line 1: the trace is empty", ErrEmpty},
 		"not JSON":        {"hello\n", "line 1:", nil},
-		"no version":      {"{}\n", "pinedale_trace: 0", nil},
+		"no version":      {"{}\n", "pinedale_trace: unsupported format version 0", nil},
 		"unknown host":    {strings.Replace(valid, Virtual, "moon", 1), "host", nil},
 		"truncated line":  {valid[:len(valid)-30], "line 5", nil},
-		"no end":          {strings.Join(lines[:5], ""), "line 6: the trace ends without its end", ErrTruncated},
-		"missing event":   {withoutEvent, "says 4, 3 are there", nil},
+		"no end":          {strings.Join(lines[:5], ""), "line 6: the trace is truncated", ErrTruncated},
+		"missing event":   {withoutEvent, "the end line states 4, but 3 were read", nil},
 		"data after end":  {valid + lines[1], "line 7: data follows the end", ErrTrailingData},
-		"no kind":         {strings.Replace(valid, `"k":"send",`, "", 1), "line 3: k: is missing", ErrNoKind},
+		"no kind":         {strings.Replace(valid, `"k":"send",`, "", 1), "line 3: k: missing event kind", ErrNoKind},
 		"wrong type":      {strings.Replace(valid, `"y":1`, `"y":"one"`, 1), "line 2", nil},
 		"line over limit": {tooLong, "line 2", nil},
 	} {
@@ -92,7 +93,7 @@
 	}
 }
 
-// errDiskFull is the error of failingWriter.
+// errDiskFull is the error returned by failingWriter.
 var errDiskFull = errors.New("the disk is full")
 
 type failingWriter struct{}
@@ -114,7 +115,7 @@
 	f.Add(`{"events":0}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		if header, _, err := readAll(text); err == nil && header.FormatVersion != Version {
-			t.Errorf("read with header %+v", header)
+			t.Errorf("a trace with the header %+v was read without an error", header)
 		}
 	})
 }
--- a/internal/emulator/trace/writer.go
+++ b/internal/emulator/trace/writer.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// Writer writes a trace. Close returns its first error.
+// Writer writes a trace. Close returns the first error of all calls.
 type Writer struct {
 	out     *bufio.Writer
 	encoder *json.Encoder
@@ -33,7 +33,7 @@
 	w.events++
 }
 
-// Close writes the end of the trace. It does not close the underlying writer.
+// Close writes the end line and flushes the buffer. It does not close the underlying writer.
 func (w *Writer) Close() error {
 	if w.err == nil {
 		w.err = w.encoder.Encode(end{Events: &w.events})
