--- a/internal/emulator/model/properties_test.go
+++ b/internal/emulator/model/properties_test.go
@@ -115,7 +115,7 @@
 		steps, end := drawSteps(t)
 		first := runSteps(options, steps, end)
 		if len(first.ended) != first.requested {
-			t.Fatalf("%d of %d requests ended", len(first.ended), first.requested)
+			t.Fatalf("%d requests were sent, %d ended", first.requested, len(first.ended))
 		}
 		for number, times := range first.ended {
 			if times != 1 {
--- a/internal/emulator/plan/workload.go
+++ b/internal/emulator/plan/workload.go
@@ -14,7 +14,7 @@
 type Clients struct {
 	Rate               float64       // new requests a second over all instances, without retries
 	RateVariation      float64       // coefficient of variation of the rate over instances
-	Retries            int           // maximum of client retries for one request
+	Retries            int           // maximum number of client retries for one request
 	TimeoutRatio       float64       // timeout of one client attempt, as a ratio of the class's client timeout
 	AffinityKeys       int           // distinct affinity keys of requests; 0 for none
 	PopularityExponent float64       // exponent of the Zipf distribution of affinity keys
