--- a/internal/emulator/model/connection.go
+++ b/internal/emulator/model/connection.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Connect opens a connection, which costs handshake work. It returns false if the server is down, collapses or has
-// reached its connection limit.
+// Connect opens a connection, which costs the server Config.HandshakeWork. It returns false if the server is down,
+// collapses or has reached its connection limit.
 func (s *Server) Connect(now Time) bool {
 	s.advance(now)
 	limit := s.config.MaxConnections
--- a/internal/emulator/model/properties_test.go
+++ b/internal/emulator/model/properties_test.go
@@ -45,7 +45,7 @@
 // runRecord is the outcome of a sequence of actions.
 type runRecord struct {
 	log       []string
-	ended     map[uint64]int // by request
+	ended     map[uint64]int // completions by request
 	requested int
 }
 
--- a/internal/emulator/model/report.go
+++ b/internal/emulator/model/report.go
@@ -22,7 +22,7 @@
 	load LoadReport
 }
 
-// Probe answers a load probe, which costs work. It returns false if the server does not answer.
+// Probe answers a load probe, which costs the server Config.ProbeWork. It returns false if the server does not answer.
 func (s *Server) Probe(now Time) (LoadReport, bool) {
 	s.advance(now)
 	if s.down || s.unresponsive(now) {
--- a/internal/emulator/model/server.go
+++ b/internal/emulator/model/server.go
@@ -11,7 +11,7 @@
 	Faults  []Fault
 }
 
-// Server is one process of a server. Create one with New. Calls must be in the order of time.
+// Server is one process of a server. Create one with New. Calls must be in chronological order.
 type Server struct {
 	config Config
 	seed   uint64
--- a/internal/emulator/model/server_test.go
+++ b/internal/emulator/model/server_test.go
@@ -53,7 +53,6 @@
 	})
 }
 
-// countOutcomes counts completions by their outcome.
 func countOutcomes(completions []Completion) map[Outcome]int {
 	counts := map[Outcome]int{}
 	for _, c := range completions {
--- a/internal/emulator/plan/result.go
+++ b/internal/emulator/plan/result.go
@@ -12,7 +12,6 @@
 	Requested, InTime, Late, Rejected, Failed int
 }
 
-// add adds the counts of another tally.
 func (t *Tally) add(other Tally) {
 	t.Requested += other.Requested
 	t.InTime += other.InTime
--- a/internal/emulator/scenario/plot.go
+++ b/internal/emulator/scenario/plot.go
@@ -77,7 +77,7 @@
 	return series{name: name, colour: colour, value: value}
 }
 
-// requestPlot plots the outcomes of requests.
+// requestPlot plots the number of requests with each outcome.
 func (f *File) requestPlot(r *plan.Result) plot {
 	return f.curvePlot(r, "Requests per second, by the second of their first client attempt", "a second", []series{
 		tallySeries("asked", colourGrey, func(t plan.Tally) int { return t.Requested }),
@@ -88,7 +88,7 @@
 	})
 }
 
-// latencyPlot plots quantiles of the response time.
+// latencyPlot plots quantiles of the response times of successful requests.
 func (f *File) latencyPlot(r *plan.Result) plot {
 	return f.curvePlot(r, "Response time of successful requests", "ms", []series{
 		quantileSeries("median", colourGreen, 0.5),
--- a/internal/emulator/scenario/validate.go
+++ b/internal/emulator/scenario/validate.go
@@ -34,13 +34,13 @@
 	scenario *File
 }
 
-// validate checks the whole scenario.
+// validate checks all values of the scenario.
 func (v *validator) validate() {
 	file := v.scenario
 	v.Require(file.Version == fileVersion, "version", "unsupported version %d; this program reads version %d",
 		file.Version, fileVersion)
 	v.Require(file.Length > 0 && time.Duration(file.Length) <= maxLength, "length",
-		"%v is not greater than 0 and at most %v", time.Duration(file.Length), maxLength)
+		"%v is out of range, must be greater than 0 and at most %v", time.Duration(file.Length), maxLength)
 	v.Require(len(file.Sites) >= 1 && len(file.Sites) <= maxSites, "sites", "%d sites, must be 1 to %d",
 		len(file.Sites), maxSites)
 	v.Require(file.Limits.MaxAttempts >= 1 && file.Limits.MaxAttempts <= maxAttempts, "limits.attempts",
@@ -70,7 +70,8 @@
 
 // requirePositive records an error unless a value is greater than 0 and at most highest.
 func (v *validator) requirePositive(key string, value, highest float64) {
-	v.Require(value > 0 && value <= highest, key, "%v is not greater than 0 and at most %v", value, highest)
+	v.Require(value > 0 && value <= highest, key, "%v is out of range, must be greater than 0 and at most %v",
+		value, highest)
 }
 
 // requireNotNegative records an error if a duration is negative.
