--- a/cmd/pinedale-bench/root.go
+++ b/cmd/pinedale-bench/root.go
@@ -38,7 +38,7 @@
 	return root
 }
 
-// result is the result of a measurement. One that must keep rules has a method Broken, too.
+// result is the result of a measurement. One that must keep rules has a method Violation, too.
 type result interface {
 	Print(w io.Writer)
 }
@@ -46,7 +46,7 @@
 // checkedResult is a result that may have broken a rule.
 type checkedResult interface {
 	result
-	Broken() string // which rule is broken, "" for none
+	Violation() string // which rule is broken, "" for none
 }
 
 // newCommand returns a command that makes a measurement and prints its result. A broken rule is an error.
@@ -61,7 +61,7 @@
 			}
 			measured.Print(cmd.OutOrStdout())
 			if checked, ok := measured.(checkedResult); ok {
-				if reason := checked.Broken(); reason != "" {
+				if reason := checked.Violation(); reason != "" {
 					return errors.New("broken: " + reason)
 				}
 			}
--- a/internal/measure/coldstart/coldstart.go
+++ b/internal/measure/coldstart/coldstart.go
@@ -217,8 +217,8 @@
 	return attempts[min(len(attempts)-1, rank)] * servers / total
 }
 
-// Broken returns which rule was broken with subsets, "" for none.
-func (r *Report) Broken() string { return r.Rows[0].BrokenRule }
+// Violation returns which rule was violated with subsets, "" for none.
+func (r *Report) Violation() string { return r.Rows[0].BrokenRule }
 
 // Print writes the report as a table.
 func (r *Report) Print(w io.Writer) {
--- a/internal/measure/departures/departures.go
+++ b/internal/measure/departures/departures.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// Broken names the first way to disconnect in which a request was sent too late, "" if there is none.
-func (results Results) Broken() string {
+// Violation names the first way to disconnect in which a request was sent too late, "" if there is none.
+func (results Results) Violation() string {
 	for _, result := range results {
 		if result.Late > 0 {
 			return fmt.Sprintf("%s: %d of %d requests were sent over %v after their client left",
--- a/internal/measure/endpointremoval/endpointremoval.go
+++ b/internal/measure/endpointremoval/endpointremoval.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Broken returns which rule was broken, "" for none.
-func (r *Report) Broken() string {
+// Violation returns which rule was violated, "" for none.
+func (r *Report) Violation() string {
 	switch {
 	case r.Late > 0:
 		return fmt.Sprintf("%d servers had a request over 2 s after their node's end", r.Late)
--- a/internal/measure/endpointremoval/endpointremoval_test.go
+++ b/internal/measure/endpointremoval/endpointremoval_test.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if reason := r.Broken(); reason != "" {
+	if reason := r.Violation(); reason != "" {
 		t.Error(reason)
 	}
 	if len(r.Removals) < 5 || r.Silences < 3 || r.Requests < 5000 {
--- a/internal/measure/extproc/extproc_test.go
+++ b/internal/measure/extproc/extproc_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if reason := r.Broken(); reason != "" {
+	if reason := r.Violation(); reason != "" {
 		t.Error(reason)
 	}
 	if r.Codes[200] < r.Calls/2 || r.Removed < 5 || r.Backends.Deduplicated == 0 || r.Backends.Rejected == 0 ||
--- a/internal/measure/extproc/report.go
+++ b/internal/measure/extproc/report.go
@@ -60,8 +60,8 @@
 
 func (p pendingState) total() int { return p.waiting + p.rounds + p.entries + p.ledger }
 
-// Broken returns which rule a run broke, "" for none.
-func (r *Report) Broken() string {
+// Violation returns which rule a run violated, "" for none.
+func (r *Report) Violation() string {
 	switch {
 	case r.Undecided+r.Doubled > 0:
 		return fmt.Sprintf("%d asks without a verdict, %d with two", r.Undecided, r.Doubled)
--- a/internal/measure/properties/properties.go
+++ b/internal/measure/properties/properties.go
@@ -52,8 +52,8 @@
 	Took     time.Duration
 }
 
-// Broken returns how many checks failed in words, "" for none.
-func (r *Report) Broken() string {
+// Violation returns how many checks failed in words, "" for none.
+func (r *Report) Violation() string {
 	failures := 0
 	for _, pkg := range r.Packages {
 		failures += len(pkg.Failures)
--- a/internal/measure/properties/properties_test.go
+++ b/internal/measure/properties/properties_test.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.Broken() == "" || len(report.Packages) != 1 {
+	if report.Violation() == "" || len(report.Packages) != 1 {
 		t.Fatalf("%+v", report)
 	}
 	failure := report.Packages[0].Failures[0]
--- a/internal/measure/rotations/rotations.go
+++ b/internal/measure/rotations/rotations.go
@@ -78,8 +78,8 @@
 // cancelledHandshake is the reason of a handshake for which no request waited any more.
 const cancelledHandshake = "called off"
 
-// Broken returns which rules were broken, "" for none.
-func (r *Result) Broken() string {
+// Violation returns which rules were violated, "" for none.
+func (r *Result) Violation() string {
 	var broken []string
 	for reason, count := range r.Failed {
 		broken = append(broken, fmt.Sprintf("%d requests: %s", count, reason))
--- a/internal/measure/rotations/rotations_test.go
+++ b/internal/measure/rotations/rotations_test.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if reason := result.Broken(); reason != "" || result.Rotations != 18 || result.Requests == 0 {
+			if reason := result.Violation(); reason != "" || result.Rotations != 18 || result.Requests == 0 {
 				t.Errorf("%s: %+v", reason, result)
 			}
 			fleet, front := result.Stores[fleetKeys], result.Stores[frontKeys]
