--- a/internal/measure/harness/clients.go
+++ b/internal/measure/harness/clients.go
@@ -13,8 +13,8 @@
 	running sync.WaitGroup
 }
 
-// StartClients starts count clients. Each calls run once, with its number; run sends requests one after the other
-// until the context ends. A request that is in flight then is to be completed.
+// StartClients starts count clients. Each calls run once, with its number. run sends requests one after the other until
+// the context ends, and must complete the request that is in flight then.
 func StartClients(count int, run func(ctx context.Context, client int)) *Clients {
 	ctx, cancel := context.WithCancel(context.Background())
 	return startClients(ctx, cancel, count, run)
@@ -43,8 +43,8 @@
 	c.running.Wait()
 }
 
-// ForEach calls do with each number from 1 to count, from as many goroutines as workers says, and returns the first
-// error. It makes all calls, also after an error.
+// ForEach calls do with each number from 1 to count, on the given number of goroutines, and returns the first error. It
+// makes all calls even after an error.
 func ForEach(count, workers int, do func(n int) error) error {
 	var (
 		last    atomic.Int64
--- a/internal/measure/harness/harness_test.go
+++ b/internal/measure/harness/harness_test.go
@@ -35,7 +35,7 @@
 
 func TestForEachMakesAllCallsAndReturnsFirstError(t *testing.T) {
 	var sum atomic.Int64
-	failure := errors.New("it failed")
+	failure := errors.New("call 10 failed")
 	err := ForEach(100, 8, func(n int) error {
 		sum.Add(int64(n))
 		if n == 10 {
@@ -89,6 +89,6 @@
 	}
 	response, err := request.Send(server.Client())
 	if err != nil || response.Code != 503 || response.Status != "503 Service Unavailable" || response.OK() {
-		t.Errorf("%+v, %v", response, err)
+		t.Errorf("response %+v, error %v, want status 503", response, err)
 	}
 }
--- a/internal/measure/harness/instance.go
+++ b/internal/measure/harness/instance.go
@@ -13,8 +13,8 @@
 	*app.Instance
 }
 
-// StartInstanceFromText starts an instance by the text of an operator's file and waits until it is ready. It logs
-// nothing.
+// StartInstanceFromText starts an instance from the text of an operator's file and waits until it is ready. The
+// instance logs nothing.
 func StartInstanceFromText(configText string) (*Instance, error) {
 	file, err := config.Parse([]byte(configText))
 	if err != nil {
@@ -23,7 +23,7 @@
 	return StartInstance(file, slog.New(slog.DiscardHandler))
 }
 
-// StartInstance starts an instance by an operator's file and waits until it is ready.
+// StartInstance starts an instance from an operator's file and waits until it is ready.
 func StartInstance(file *config.File, log *slog.Logger) (*Instance, error) {
 	started, err := app.Start(file, log)
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 	instance := &Instance{started}
 	if err := instance.WaitReady(); err != nil {
-		_ = instance.Close() // the cause is that it is not ready
+		_ = instance.Close() // the caller gets the error of WaitReady
 		return nil, err
 	}
 	return instance, nil
--- a/internal/measure/harness/percentile.go
+++ b/internal/measure/harness/percentile.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Percentile returns a percentile of values by nearest rank, 100 for the largest, and the zero value if there are
-// none. It sorts the values.
+// Percentile returns a percentile of values by nearest rank, or the zero value if there are no values. With a percent
+// of 100 it returns the largest value. It sorts the values.
 func Percentile[T cmp.Ordered](values []T, percent int) (value T) {
 	if len(values) == 0 {
 		return value
--- a/internal/measure/harness/request.go
+++ b/internal/measure/harness/request.go
@@ -15,12 +15,12 @@
 	ID             string
 	Class          string
 	Method         string        // GET if it is empty
-	Timeout        time.Duration // that the request states
+	Timeout        time.Duration // stated in the request
 	IdempotencyKey string        // none if it is empty
 	Tenant         string        // none if it is empty
 }
 
-// Response is the answer to a request.
+// Response is the response to a request.
 type Response struct {
 	Code   int
 	Status string // code and text
@@ -29,7 +29,7 @@
 // OK reports whether the request was served.
 func (r *Response) OK() bool { return r.Code == http.StatusOK }
 
-// Send sends the request and reads the answer to its end. Its error is the cause without method and URL.
+// Send sends the request and reads the response to its end. Its error does not include the method and URL.
 func (r *Request) Send(client *http.Client) (*Response, error) {
 	request, err := r.build()
 	if err != nil {
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // the status alone counts
+	_, _ = io.Copy(io.Discard, response.Body) // only the status is needed
 	return &Response{Code: response.StatusCode, Status: response.Status}, nil
 }
 
--- a/internal/measure/process/process.go
+++ b/internal/measure/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs what is measured in a process of its own, whose CPU time and memory are its alone: the
-// measuring program starts itself once more.
+// Package process runs the measured code in a separate process, so that its CPU time and memory do not include those of
+// the measuring program. The measuring program starts its own executable again for this.
 package process
 
 import (
@@ -23,21 +23,21 @@
 	envProfile = "PINEDALE_MEASURE_PROFILE"
 )
 
-// Serve starts what is measured. It returns in one line what the measuring process must know of it, such as its
-// address.
+// Serve starts the measured code. The line that it returns is sent to the measuring process, such as the address to
+// connect to.
 type Serve func(args []string) (line string, stop func(), err error)
 
-// Kinds are what a process may be started for, by name.
+// Kinds are the functions that started processes run, by the name of the kind of process.
 type Kinds map[string]Serve
 
-// Usage is what a process has used.
+// Usage is the CPU time and memory of a process.
 type Usage struct {
 	CPU    time.Duration // since its start
 	Memory int64         // bytes of heap and stacks after a collection
 }
 
-// Main serves what this process was started for until its standard input ends. It reports whether it was started for
-// anything.
+// Main runs the kind of process that this one was started as, until its standard input ends. If this process was not
+// started by Start, Main does nothing and returns false.
 func Main(kinds Kinds) (started bool, err error) {
 	kind := os.Getenv(envKind)
 	if kind == "" {
@@ -45,7 +45,7 @@
 	}
 	serve := kinds[kind]
 	if serve == nil {
-		return true, fmt.Errorf("nothing of kind %q can be measured", kind)
+		return true, fmt.Errorf("unknown kind of process %q", kind)
 	}
 	stopProfile, err := startProfile(os.Getenv(envProfile))
 	if err != nil {
@@ -80,7 +80,7 @@
 	}, nil
 }
 
-// answerUsage writes this process's usage for each line that it reads.
+// answerUsage writes this process's usage for each line that it reads from in.
 func answerUsage(in io.Reader, out io.Writer) error {
 	requests := bufio.NewScanner(in)
 	for requests.Scan() {
@@ -107,15 +107,15 @@
 
 // Process is a started process.
 type Process struct {
-	Line string // that Serve returned
+	Line string // returned by Serve
 
 	command *exec.Cmd
 	stdin   io.WriteCloser
 	stdout  *bufio.Scanner
 }
 
-// Start starts this program once more, for one kind, and waits until that serves. A CPU profile is written into the
-// file profile, unless it is empty.
+// Start starts this executable again as a process of a kind, and waits until it serves. If profile is not empty, the
+// process writes a CPU profile into that file.
 func Start(kind, profile string, args ...string) (*Process, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -140,19 +140,19 @@
 	p.stdout = bufio.NewScanner(stdout)
 	if !p.stdout.Scan() {
 		p.Stop()
-		return nil, fmt.Errorf("the process for %q did not start", kind)
+		return nil, fmt.Errorf("the process of kind %q did not start", kind)
 	}
 	p.Line = p.stdout.Text()
 	return p, nil
 }
 
-// Usage returns what the process has used.
+// Usage returns the CPU time that the process has used since its start, and its memory.
 func (p *Process) Usage() (usage Usage, err error) {
 	if _, err := fmt.Fprintln(p.stdin); err != nil {
 		return usage, err
 	}
 	if !p.stdout.Scan() {
-		return usage, errors.New("the process has ended")
+		return usage, errors.New("the measured process has ended")
 	}
 	_, err = fmt.Sscan(p.stdout.Text(), &usage.CPU, &usage.Memory)
 	return usage, err
@@ -161,5 +161,5 @@
 // Stop ends the process and waits for it.
 func (p *Process) Stop() {
 	p.stdin.Close()
-	_ = p.command.Wait() // its result is not needed any more
+	_ = p.command.Wait() // the exit status is not needed
 }
--- a/internal/measure/process/process_test.go
+++ b/internal/measure/process/process_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	echoKind    = "echo"    // its line is its arguments
-	failingKind = "failing" // it cannot be started
+	echoKind    = "echo"    // returns its arguments as its line
+	failingKind = "failing" // returns an error
 )
 
 var testKinds = Kinds{
@@ -18,11 +18,11 @@
 		return strings.Join(args, "+"), func() {}, nil
 	},
 	failingKind: func([]string) (line string, stop func(), err error) {
-		return "", nil, errors.New("it cannot be started")
+		return "", nil, errors.New("a process of the failing kind cannot be started")
 	},
 }
 
-// The tests' program starts itself once more, as the measuring program does.
+// TestMain runs a process of a kind if the test executable was started as one, and the tests otherwise.
 func TestMain(m *testing.M) {
 	started, err := Main(testKinds)
 	if !started {
@@ -41,15 +41,15 @@
 	}
 	defer p.Stop()
 	if p.Line != "first+second" {
-		t.Errorf("the line is %q", p.Line)
+		t.Errorf("got line %q, want first+second", p.Line)
 	}
 	first, err := p.Usage()
 	if err != nil || first.CPU <= 0 || first.Memory <= 0 {
-		t.Errorf("%+v, %v", first, err)
+		t.Errorf("first usage %+v, error %v", first, err)
 	}
 	second, err := p.Usage()
 	if err != nil || second.CPU < first.CPU {
-		t.Errorf("%+v after %+v, %v", second, first, err)
+		t.Errorf("second usage %+v after %+v, error %v", second, first, err)
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	p.Stop()
 	if info, err := os.Stat(path); err != nil || info.Size() == 0 {
-		t.Errorf("%+v, %v", info, err)
+		t.Errorf("profile %+v, error %v", info, err)
 	}
 }
 
