--- a/internal/measure/coldstart/coldstart.go
+++ b/internal/measure/coldstart/coldstart.go
@@ -1,6 +1,6 @@
-// Package coldstart measures what thousands of quiet instances do together to servers that have just started, and how
-// evenly they spread their work, with subsets of the fleet and without: complete engines with their decision modules,
-// in one process, on the emulator's virtual time.
+// Package coldstart measures the load that thousands of instances with few requests each put on servers that have just
+// started, and how evenly they spread their requests, with subsets of the fleet and without. It simulates complete
+// engines with their decision modules in one process, on the emulator's virtual time.
 package coldstart
 
 import (
@@ -23,9 +23,9 @@
 type Options struct {
 	Instances      int
 	Servers        int
-	Fresh          int     // servers of these that start cold in the middle of a simulation
+	Fresh          int     // servers of these that start in the middle of a simulation, with slow start
 	Rate           float64 // requests per second of all instances, without retries
-	SubsetSize     int     // the smallest
+	SubsetSize     int     // smallest number of servers in a subset
 	Seeds          int     // simulations of each row
 	WithoutSubsets bool    // measure the complete fleet at every instance, too
 }
@@ -33,30 +33,30 @@
 // Row is the result of all seeds, with subsets or without.
 type Row struct {
 	Name        string
-	Strain      []float64 // by seed, sorted: of the fresh server that was nearest to its collapse
-	Collapsed   int       // servers, over all seeds
+	Strain      []float64 // by seed, sorted: the peak strain of the fresh servers; 1 is a collapse
+	Collapsed   int       // servers that collapsed, over all seeds
 	MinScore    float64
-	Connections int     // the most of any seed
-	ProbeRatio  float64 // probes per attempt, the most of any seed
-	Imbalance   float64 // 99th percentile of the servers' requests over their mean, the worst of any seed
+	Connections int     // highest number open at once, the highest of any seed
+	ProbeRatio  float64 // probes per attempt, the highest of any seed
+	Imbalance   float64 // 99th percentile of the servers' requests over their mean, the highest of any seed
 	BrokenRule  string
 }
 
-// Report is the result of a measurement. The first row is that with subsets.
+// Report is the result of a measurement. The first row is the one with subsets.
 type Report struct {
 	Rows []Row
 	Took time.Duration
 }
 
 const (
-	// Between these seconds of a simulation, servers that are there from the start are warm and no others have
+	// Between these seconds of a simulation, the initial servers have completed their slow start and no other server has
 	// started.
-	balancedFrom  = 2
-	balancedUntil = 5
+	balancedFromSecond  = 2
+	balancedUntilSecond = 5
 
 	imbalancePercentile = 0.99
 
-	// endpointsPerInFlight is how the size of a subset follows the requests in flight.
+	// endpointsPerInFlight is the number of further endpoints of a subset for each request in flight.
 	endpointsPerInFlight = 2
 )
 
@@ -126,7 +126,7 @@
 		float64(o.Fresh)/float64(o.Servers))
 }
 
-// Run measures. Simulations run concurrently, on half of the cores.
+// Run runs the measurement. Simulations run concurrently, on half of the cores.
 func Run(o Options) (*Report, error) {
 	start := time.Now()
 	file, err := scenario.Parse([]byte(o.scenarioText()))
@@ -144,7 +144,7 @@
 		if row, err = simulateSeeds(file, o.Seeds, nil); err != nil {
 			return nil, err
 		}
-		row.Name = "the whole fleet"
+		row.Name = "complete fleet"
 		report.Rows = append(report.Rows, *row)
 	}
 	report.Took = time.Since(start)
@@ -156,20 +156,20 @@
 func simulateSeeds(file *scenario.File, seeds int, subsets *subset.Config) (*Row, error) {
 	row := &Row{MinScore: 1}
 	var mu sync.Mutex
-	workers := max(1, runtime.NumCPU()/2) // complete fleets at all instances take much memory
+	workers := max(1, runtime.NumCPU()/2) // with the complete fleet at every instance, simulations take much memory
 	err := harness.ForEach(seeds, workers, func(seed int) error {
-		day := file.Plan(uint64(seed))
+		planned := file.Plan(uint64(seed))
 		if subsets != nil {
 			config := *subsets
-			day.Subset = &config
+			planned.Subset = &config
 		}
-		result, err := simulation.Run(day, simulation.Options{})
+		result, err := simulation.Run(planned, simulation.Options{})
 		if err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		row.add(day, result)
+		row.add(planned, result)
 		return nil
 	})
 	if err != nil {
@@ -180,29 +180,29 @@
 }
 
 // add adds the result of one seed.
-func (r *Row) add(day *plan.Scenario, result *plan.Result) {
+func (r *Row) add(planned *plan.Scenario, result *plan.Result) {
 	r.Strain = append(r.Strain, result.PeakOverloadRatio)
 	r.Collapsed += len(result.Collapsed)
-	r.MinScore = min(r.MinScore, day.Score(result))
+	r.MinScore = min(r.MinScore, planned.Score(result))
 	r.Connections = max(r.Connections, result.Connections)
 	r.ProbeRatio = max(r.ProbeRatio, float64(result.Probes)/float64(max(1, result.ClientAttempts)))
-	r.Imbalance = max(r.Imbalance, imbalance(day, result))
+	r.Imbalance = max(r.Imbalance, imbalance(planned, result))
 	if reason := result.Violations(); reason != "" {
 		r.BrokenRule = reason
 	}
 }
 
-// imbalance returns the 99th percentile over the mean of the requests of servers that are there from the start, in the
-// seconds before others start; 0 if there are no requests.
-func imbalance(day *plan.Scenario, result *plan.Result) float64 {
+// imbalance returns the 99th percentile of the requests per server over their mean, 0 if there are no requests. It
+// counts the servers that run from the start, in the seconds before others start.
+func imbalance(planned *plan.Scenario, result *plan.Result) float64 {
 	var attempts []float64 // by server
 	total := 0.0
-	for n := range day.Servers {
-		if day.Servers[n].Incarnations[0].From > 0 {
+	for n := range planned.Servers {
+		if planned.Servers[n].Incarnations[0].From > 0 {
 			continue
 		}
 		count := 0.0
-		for second := balancedFrom; second < balancedUntil && second < len(result.Seconds); second++ {
+		for second := balancedFromSecond; second < balancedUntilSecond && second < len(result.Seconds); second++ {
 			count += float64(result.Seconds[second].Attempts[n])
 		}
 		attempts = append(attempts, count)
@@ -217,13 +217,13 @@
 	return attempts[min(len(attempts)-1, rank)] * servers / total
 }
 
-// Violation returns which rule was violated with subsets, "" for none.
+// Violation describes the rule that was violated with subsets, "" for none.
 func (r *Report) Violation() string { return r.Rows[0].BrokenRule }
 
 // Print writes the report as a table.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "%-18s %18s %18s %6s %8s %13s %14s %10s\n",
-		"an instance holds", "strain, median", "strain, worst", "fell", "G", "connections", "probes a try", "p99/mean")
+		"servers used", "strain, median", "strain, worst", "fell", "G", "connections", "probe ratio", "p99/mean")
 	for i := range r.Rows {
 		row := &r.Rows[i]
 		fmt.Fprintf(w, "%-18s %18.2f %18.2f %6d %8.3f %13d %14.2f %10.2f\n",
@@ -236,5 +236,5 @@
 			row.ProbeRatio,
 			row.Imbalance)
 	}
-	fmt.Fprintf(w, "%d plays of 16 s each way in %v\n", len(r.Rows[0].Strain), r.Took.Round(time.Second))
+	fmt.Fprintf(w, "%d simulations of 16 s per row in %v\n", len(r.Rows[0].Strain), r.Took.Round(time.Second))
 }
--- a/internal/measure/gossip/gossip.go
+++ b/internal/measure/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip measures what replicated state costs, in fleets of any size: the stores of package replication at the
-// intervals of package cluster, on virtual time, with messages in their encoding on the wire.
+// Package gossip measures the cost of replicated state by the size of the fleet. It simulates the stores of package
+// replication at the intervals of package cluster, on virtual time, with messages in their wire encoding.
 //
 //	gossip.go      Options, Run and its rows
 //	simulation.go  the simulation of one fleet
@@ -26,14 +26,14 @@
 type Row struct {
 	Instances     int
 	Entries       int           // that were written
-	BytesSent     float64       // the mean of all instances
+	BytesSent     float64       // mean of all instances
 	MaxBytesSent  float64       // of the instance that sent the most
-	Messages      float64       // the mean of all instances
-	Propagation   time.Duration // until all instances had an entry, the median
-	Propagation95 time.Duration // the 95th percentile
+	Messages      float64       // mean of all instances
+	Propagation   time.Duration // until all instances had an entry, median
+	Propagation95 time.Duration // 95th percentile
 	Incomplete    int           // entries of the first three quarters of the span that an instance never received
-	LongestTurn   time.Duration // CPU time of one instance at one instant, by this machine's clock
-	CPU           float64       // of a core that one instance needs, by this machine's clock
+	MaxStepTime   time.Duration // longest processing time of one instance in one tick, by this machine's clock
+	CPU           float64       // cores that one instance needs, by this machine's clock
 	StoreBytes    int64         // bytes of one instance's store
 }
 
@@ -53,7 +53,7 @@
 	return rows, nil
 }
 
-// simulate simulates a fleet.
+// simulate simulates one fleet, and measures the heap memory of its stores.
 func simulate(o *Options, instances int) (Row, error) {
 	before := heapBytes()
 	s := newSimulation(o, instances)
@@ -80,8 +80,8 @@
 	const megabyte = 1 << 20
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer table.Flush()
-	fmt.Fprintln(table, "instances\tentries\tB/s sent\tmost\tmessages/s\t"+
-		"known by all, median\t95%\tnot known\tlongest turn\tof a core\tmemory\t")
+	fmt.Fprintln(table, "instances\tentries\tB/s sent\tmax. B/s sent\tmessages/s\t"+
+		"propagation, median\t95%\tincomplete\tlongest step\tCPU cores\tmemory\t")
 	for i := range rows {
 		row := &rows[i]
 		fmt.Fprintf(table, "%d\t%d\t%.0f\t%.0f\t%.1f\t%v\t%v\t%d\t%v\t%.4f\t%.1f MB\t\n",
@@ -93,7 +93,7 @@
 			row.Propagation,
 			row.Propagation95,
 			row.Incomplete,
-			row.LongestTurn.Round(10*time.Microsecond),
+			row.MaxStepTime.Round(10*time.Microsecond),
 			row.CPU,
 			float64(row.StoreBytes)/megabyte)
 	}
--- a/internal/measure/gossip/gossip_test.go
+++ b/internal/measure/gossip/gossip_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// What an instance sends does not grow with the fleet, and entries reach all instances although some messages are lost.
+// The bytes that an instance sends must not grow with the fleet, and entries must reach all instances although some
+// messages are lost.
 func TestBytesSentStayFlatAndEntriesReachAll(t *testing.T) {
 	rows, err := Run(Options{Sizes: []int{3, 40}, Servers: 20, Span: 8 * time.Second, Loss: 0.05, Seed: 1})
 	if err != nil {
@@ -20,11 +21,11 @@
 		}
 	}
 	if rows[1].BytesSent > 1.5*rows[0].BytesSent {
-		t.Errorf("%.0f bytes a second for each of 3 instances, %.0f for each of 40",
+		t.Errorf("%.0f bytes per second for each of 3 instances, %.0f for each of 40, want at most 1.5 times as many",
 			rows[0].BytesSent, rows[1].BytesSent)
 	}
 	var out bytes.Buffer
 	if rows.Print(&out); strings.Count(out.String(), "\n") != 3 {
-		t.Errorf("printed %q", out.String())
+		t.Errorf("Print wrote %q, want 3 lines", out.String())
 	}
 }
--- a/internal/measure/gossip/simulation.go
+++ b/internal/measure/gossip/simulation.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// epoch is that of all instances: none restarts.
+	// epoch is the epoch of all instances, since none restarts.
 	epoch = 1_796_000_000_000_000
 
 	// tick is the resolution of virtual time. A message is under way for one tick.
@@ -40,7 +40,7 @@
 	seq    uint64
 }
 
-// node is one instance: its store, and when it next does what it does at intervals.
+// node is one instance: its store, and the times of its next periodic actions.
 type node struct {
 	index int
 	store *replication.Store
@@ -49,7 +49,7 @@
 	nextGossip time.Duration
 	nextDigest time.Duration
 
-	digestStart int // bucket with which the response to the next digest begins
+	digestStart int // first bucket of the response to the next digest
 	written     int // entries
 	sentBytes   int
 
@@ -67,11 +67,11 @@
 	messages int
 	now      time.Duration
 
-	busy        time.Duration // CPU time of all nodes
-	longestTurn time.Duration
+	busy        time.Duration // processing time of all nodes
+	maxStepTime time.Duration
 }
 
-// newSimulation returns a fleet whose nodes begin at random places within their intervals.
+// newSimulation returns a fleet whose nodes start at random offsets within their intervals.
 func newSimulation(o *Options, instances int) *simulation {
 	s := &simulation{
 		options: o,
@@ -109,16 +109,16 @@
 	return nil
 }
 
-// step has every node do what is due now. Messages that are sent arrive at the next tick.
+// step runs every node for one tick. Messages that are sent arrive at the next tick.
 func (s *simulation) step() error {
 	for _, n := range s.nodes {
 		start := time.Now()
-		if err := s.takeTurn(n); err != nil {
+		if err := s.stepNode(n); err != nil {
 			return err
 		}
 		took := time.Since(start)
 		s.busy += took
-		s.longestTurn = max(s.longestTurn, took)
+		s.maxStepTime = max(s.maxStepTime, took)
 	}
 	for _, n := range s.nodes {
 		n.inbox, n.nextInbox = n.nextInbox, n.inbox[:0]
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// takeTurn has one node handle its messages and do what is due.
-func (s *simulation) takeTurn(n *node) error {
+// stepNode has one node handle its messages and run the periodic actions that are due.
+func (s *simulation) stepNode(n *node) error {
 	for _, m := range n.inbox {
 		if err := s.handle(n, m); err != nil {
 			return err
@@ -248,7 +248,7 @@
 	}
 }
 
-// write has a node write an entry about a random server.
+// write has a node write an entry for a random server.
 func (s *simulation) write(n *node) error {
 	value, err := proto.Marshal(&peerspb.Server{
 		Attempts: uint64(s.random.IntN(1e6)) + 1e6,
@@ -268,7 +268,7 @@
 	return nil
 }
 
-// sendRumours sends a node's rumours to some others.
+// sendRumours sends a node's rumours to some random other nodes.
 func (s *simulation) sendRumours(n *node) error {
 	rumours := n.store.Rumours(s.now)
 	if len(rumours) == 0 {
@@ -282,7 +282,7 @@
 	return nil
 }
 
-// row returns the result without the memory.
+// row returns the result without StoreBytes.
 func (s *simulation) row() Row {
 	instances, seconds := float64(len(s.nodes)), s.options.Span.Seconds()
 	total, highest := 0, 0
@@ -296,7 +296,7 @@
 		BytesSent:    float64(total) / instances / seconds,
 		MaxBytesSent: float64(highest) / seconds,
 		Messages:     float64(s.messages) / instances / seconds,
-		LongestTurn:  s.longestTurn,
+		MaxStepTime:  s.maxStepTime,
 		CPU:          s.busy.Seconds() / instances / seconds,
 	}
 	var took []time.Duration
