--- a/internal/measure/extproc/calls.go
+++ b/internal/measure/extproc/calls.go
@@ -17,34 +17,34 @@
 
 const (
 	plainCall                callKind = "plain"
-	disconnectBeforeDecision callKind = "left before the verdict"
-	disconnectAtDecision     callKind = "left with the verdict"
+	disconnectBeforeDecision callKind = "disconnected before decision"
+	disconnectAtDecision     callKind = "disconnected at decision"
 	noReport                 callKind = "no report"
-	brokenConnection         callKind = "broken off"
-	concurrentRepeat         callKind = "asked twice at once"
-	repeatAfterOutcome       callKind = "asked again after the outcome"
+	brokenConnection         callKind = "connection broken off"
+	concurrentRepeat         callKind = "repeated concurrently"
+	repeatAfterOutcome       callKind = "repeated after the outcome"
 )
 
-// callMix has the thresholds of a draw from 0 to 1 below which a call is of each kind; the rest are plain ones. Kinds
-// for requests with an idempotency key alone are plain calls for others.
+// callMix has the threshold of each kind of call: a draw from 0 to 1 selects the first kind whose threshold is above
+// it. All other calls are plain. Kinds that need an idempotency key are skipped for requests without one.
 var callMix = []struct {
-	kind   callKind
-	below  float64
-	hasKey bool
+	kind     callKind
+	below    float64
+	needsKey bool
 }{
 	{kind: disconnectBeforeDecision, below: 0.03},
 	{kind: disconnectAtDecision, below: 0.06},
 	{kind: noReport, below: 0.09},
 	{kind: brokenConnection, below: 0.10},
-	{kind: concurrentRepeat, below: 0.15, hasKey: true},
-	{kind: repeatAfterOutcome, below: 0.20, hasKey: true},
+	{kind: concurrentRepeat, below: 0.15, needsKey: true},
+	{kind: repeatAfterOutcome, below: 0.20, needsKey: true},
 }
 
 // drawCallKind draws what a caller does.
 func drawCallKind(random *rand.Rand, hasKey bool) callKind {
 	draw := random.Float64()
 	for _, part := range callMix {
-		if draw < part.below && (hasKey || !part.hasKey) {
+		if draw < part.below && (hasKey || !part.needsKey) {
 			return part.kind
 		}
 	}
@@ -62,7 +62,7 @@
 	{classOrder, 1},
 }
 
-// drawRequest draws the client's request of a number.
+// drawRequest draws the request with the given number.
 func (r *run) drawRequest(number int, random *rand.Rand) (request proxy.Request, class string) {
 	draw := random.Float64()
 	for _, part := range classMix {
@@ -91,9 +91,9 @@
 	return request, class
 }
 
-// makeCalls makes all calls of the run, and changes the fleet meanwhile.
+// makeCalls makes all calls of the run, and changes the fleet while they run.
 func (r *run) makeCalls() {
-	// A call counts its own errors.
+	// Each call counts its own errors.
 	_ = harness.ForEach(r.options.Calls, r.options.Callers, func(number int) error {
 		if every := r.options.ChangeEvery; every > 0 && number%every == 0 {
 			r.changeFleet()
@@ -103,7 +103,7 @@
 	})
 }
 
-// call makes the call of a number, with the fault that is drawn for it.
+// call makes the call with the given number, with the fault that is drawn for it.
 func (r *run) call(number int) {
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(number)))
 	request, _ := r.drawRequest(number, random)
@@ -128,7 +128,7 @@
 	first, second *proxy.Proxy
 }
 
-// make makes the call in the way of a kind.
+// make makes the call as its kind requires.
 func (c *call) make(kind callKind) {
 	ctx := context.Background()
 	switch kind {
@@ -191,7 +191,7 @@
 	c.run.countCode(first.Code)
 }
 
-// countStream counts a stream. disconnected says that the caller broke it off before its decision.
+// countStream counts a stream. disconnected says that the caller broke off the stream before its decision.
 func (r *run) countStream(result proxy.Result, disconnected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -211,8 +211,8 @@
 	}
 }
 
-// countPair checks two streams about one keyed request: if both were served by their first attempt, they were sent to
-// the same server.
+// countPair checks two streams for one keyed request: if both were served by their first attempt, they must have been
+// sent to the same server.
 func (r *run) countPair(a, b proxy.Result) {
 	if !servedAtFirstAttempt(a) || !servedAtFirstAttempt(b) || a.Decision.Endpoint == b.Decision.Endpoint {
 		return
@@ -227,7 +227,7 @@
 	return decision.Endpoint != "" && decision.Headers["x-pinedale-attempt"] == "1" && result.Code == http.StatusOK
 }
 
-// countCode counts the final answer to a client.
+// countCode counts the final response to a client.
 func (r *run) countCode(code int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/measure/extproc/config.go
+++ b/internal/measure/extproc/config.go
@@ -68,8 +68,8 @@
 deadline = %[3]q
 `
 
-// configText returns the operator's file of an instance that reads from a discovery. With short, windows and deadlines
-// are such that the instance forgets requests within seconds.
+// configText returns the operator's file of an instance that gets its servers from the discovery service at an address.
+// If short is true, windows and deadlines are so short that the instance evicts requests within seconds.
 func configText(discovery string, short bool, maxAttempts int) string {
 	classDeadline, window := deadline, closeWindow
 	if short {
--- a/internal/measure/extproc/cost.go
+++ b/internal/measure/extproc/cost.go
@@ -14,9 +14,9 @@
 
 const (
 	peakCallers   = 64  // closed-loop callers that measure the peak
-	commonRatio   = 0.7 // of the no-op's peak: the rate at which both are compared
-	costRounds    = 3   // of each processor; of each figure the median counts
-	warmupDivisor = 3   // a warm-up takes this part of a step
+	commonRatio   = 0.7 // of the no-op's peak: the rate at which both processors are compared
+	costRounds    = 3   // of each processor; each figure is the median of the rounds
+	warmupDivisor = 3   // a warm-up takes the span of a step divided by this
 )
 
 // CostOptions configure a comparison.
@@ -24,7 +24,7 @@
 	Servers     int
 	Connections int           // of the caller
 	Span        time.Duration // of each step
-	Profile     string        // file for a CPU profile of the processor, or nothing
+	Profile     string        // file for a CPU profile of the processor, or empty
 }
 
 // CostReport compares the decisions of pinedale-proxy with a processor that decides nothing.
@@ -33,27 +33,27 @@
 	CommonRate     float64 // streams per second that were offered to both
 }
 
-// ProcessorCost is what decisions of one processor cost.
+// ProcessorCost is the cost of the decisions of one processor.
 type ProcessorCost struct {
-	Peak          float64       // streams per second of as many callers as it takes
+	Peak          float64       // streams per second that peakCallers reach
 	CPU           time.Duration // of the processor's process per stream, at the common rate
 	P50, P99      time.Duration // latency of the decision alone, at the common rate
-	Rate          float64       // that was reached
-	StreamBytes   int64         // of heap and stacks per open stream that has its decision
+	Rate          float64       // streams per second that were reached at the common rate
+	StreamBytes   int64         // of heap and stacks for each open stream that has its decision
 	RejectedRatio float64       // of the decisions at the common rate
 }
 
 // Print writes the report as a table.
 func (r *CostReport) Print(w io.Writer) {
 	fmt.Fprintf(w, "%-28s %12s %12s %8s\n", "", "no-op", "pinedale", "ratio")
-	printCostRow(w, "peak, streams a second", "", r.Noop.Peak, r.Pinedale.Peak)
-	fmt.Fprintf(w, "at %.0f streams a second, 70%% of the no-op's peak (reached: %.0f and %.0f)\n",
+	printCostRow(w, "peak, streams per second", "", r.Noop.Peak, r.Pinedale.Peak)
+	fmt.Fprintf(w, "at %.0f streams per second, 70%% of the no-op's peak (reached: %.0f and %.0f)\n",
 		r.CommonRate, r.Noop.Rate, r.Pinedale.Rate)
-	printCostRow(w, "CPU a stream", "us", microseconds(r.Noop.CPU), microseconds(r.Pinedale.CPU))
-	printCostRow(w, "verdict, median", "us", microseconds(r.Noop.P50), microseconds(r.Pinedale.P50))
-	printCostRow(w, "verdict, 99th percentile", "us", microseconds(r.Noop.P99), microseconds(r.Pinedale.P99))
-	fmt.Fprintf(w, "refused: %.4f of pinedale's verdicts\n", r.Pinedale.RejectedRatio)
-	printCostRow(w, "memory an open stream", "KB", kilobytes(r.Noop.StreamBytes), kilobytes(r.Pinedale.StreamBytes))
+	printCostRow(w, "CPU per stream", "us", microseconds(r.Noop.CPU), microseconds(r.Pinedale.CPU))
+	printCostRow(w, "decision, median", "us", microseconds(r.Noop.P50), microseconds(r.Pinedale.P50))
+	printCostRow(w, "decision, 99th percentile", "us", microseconds(r.Noop.P99), microseconds(r.Pinedale.P99))
+	fmt.Fprintf(w, "rejected: %.4f of pinedale's decisions\n", r.Pinedale.RejectedRatio)
+	printCostRow(w, "memory per open stream", "KB", kilobytes(r.Noop.StreamBytes), kilobytes(r.Pinedale.StreamBytes))
 }
 
 func printCostRow(w io.Writer, name, unit string, noop, pinedale float64) {
@@ -64,17 +64,17 @@
 
 func kilobytes(bytes int64) float64 { return float64(bytes) / 1024 }
 
-// processorMeasurement is that of one processor.
+// processorMeasurement measures one processor.
 type processorMeasurement struct {
 	options       CostOptions
 	kind, arg     string
-	profile       string // file for a CPU profile of the last round, or nothing
+	profile       string // file for a CPU profile of the last round, or empty
 	cost          *ProcessorCost
 	cpu, p50, p99 []time.Duration // by round
 }
 
-// Cost compares the decisions of pinedale-proxy with a processor on the same library that decides nothing. Both serve
-// in processes of their own, one after the other, in rounds.
+// Cost compares the decisions of pinedale-proxy with those of a processor on the same library that decides nothing.
+// Each processor runs in a separate process, one after the other, in rounds.
 func Cost(o CostOptions) (*CostReport, error) {
 	discovery, err := fakediscovery.Start()
 	if err != nil {
@@ -117,7 +117,7 @@
 	return report, nil
 }
 
-// startServers starts servers and lists them in discovery. It returns those that were started also with an error.
+// startServers starts servers and lists them in discovery. On an error, it returns the servers that it has started.
 func startServers(discovery *fakediscovery.Directory, count int) (servers []*fakebackend.Server, err error) {
 	fleet := &fakebackend.Fleet{Seed: 1}
 	var hosts []fakediscovery.Host
@@ -144,7 +144,7 @@
 	}
 }
 
-// withProcessor starts the processor, has a measurement made with a caller of it, and stops it.
+// withProcessor starts the processor, calls measure with a caller that is connected to it, and stops it.
 func (m *processorMeasurement) withProcessor(
 	profile string, measure func(*process.Process, *streamCaller) error,
 ) error {
@@ -175,7 +175,7 @@
 	})
 }
 
-// measureRound measures one round at the common rate, the memory of open streams in the first round alone.
+// measureRound measures one round at the common rate, in the first round also the memory of open streams.
 func (m *processorMeasurement) measureRound(round int, rate float64) error {
 	profile := ""
 	if round == costRounds-1 {
--- a/internal/measure/extproc/extproc_test.go
+++ b/internal/measure/extproc/extproc_test.go
@@ -7,17 +7,17 @@
 	"go.uber.org/goleak"
 )
 
-// The run of the operators' page, at a size for every commit.
+// A smaller run of the command verdicts, for every commit.
 func TestRunKeepsAllRulesUnderFaults(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	r, err := Run(Options{
-		Calls:       3000,
-		Callers:     16,
-		Servers:     8,
-		Seed:        5,
-		ChangeEvery: 250,
-		Short:       true,
-		ServiceTime: time.Millisecond,
+		Calls:        3000,
+		Callers:      16,
+		Servers:      8,
+		Seed:         5,
+		ChangeEvery:  250,
+		ShortWindows: true,
+		ServiceTime:  time.Millisecond,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -27,15 +27,16 @@
 	}
 	if r.Codes[200] < r.Calls/2 || r.Removed < 5 || r.Backends.Deduplicated == 0 || r.Backends.Rejected == 0 ||
 		len(r.CallKinds) != 7 {
-		t.Errorf("the run did not cause what it is for: %+v", r)
+		t.Errorf("the run did not cover the cases that it is meant to cause: %+v", r)
 	}
 	t.Logf("%+v", r)
 }
 
-// The same load through both fronts is served, rejected and failed alike if nothing random separates them.
+// Both fronts serve, reject and fail equally many requests of a load, if neither retries nor differences between
+// servers make the results random.
 func TestFrontsAnswerSameLoadAlike(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	report, err := Fronts(Options{Calls: 1500, Servers: 8, Seed: 3, Short: true, NoRetries: true}, true)
+	report, err := Fronts(Options{Calls: 1500, Servers: 8, Seed: 3, ShortWindows: true, NoRetries: true}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,6 +51,6 @@
 		sum.Failed += tally.Failed
 	}
 	if len(report.HTTP) != 4 || sum.Rejected < 20 || sum.Failed < 10 || sum.Served < 1000 {
-		t.Errorf("the load did not cause what it is for: %+v", sum)
+		t.Errorf("the load did not cause enough rejected, failed and served requests: %+v", sum)
 	}
 }
--- a/internal/measure/extproc/fronts.go
+++ b/internal/measure/extproc/fronts.go
@@ -17,7 +17,7 @@
 
 const frontTimeout = 10 * time.Second
 
-// Tally counts final answers.
+// Tally counts final responses.
 type Tally struct{ Served, Rejected, Failed int }
 
 func (t *Tally) add(code int) {
@@ -34,15 +34,15 @@
 // ClassTallies has the tally of each class.
 type ClassTallies map[string]*Tally
 
-// FrontsReport has the answers to one load through each front.
+// FrontsReport has the responses to one load through each front.
 type FrontsReport struct {
 	HTTP, Processor ClassTallies
 }
 
 // Fronts makes the same seeded calls, one after the other, through the HTTP front and through the processor, with
 // fleets that fail in the same way. With sameOnAllServers, a request fails in the same way at every server. If there
-// are no retries either, nothing random is left: otherwise a request that fails at every attempt would be all that some
-// servers receive, and their breakers draw which requests come next.
+// are no retries either, nothing is random. Otherwise a request that fails at every attempt could be the only one that
+// some servers receive, and their breakers draw at random which requests they get next.
 func Fronts(o Options, sameOnAllServers bool) (*FrontsReport, error) {
 	faults := fakebackend.Faults{Reject: 0.02, Error: 0.03, Reset: 0.02, SameOnAllServers: sameOnAllServers}
 	viaHTTP, err := tallyCalls(o, faults, newHTTPCaller)
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	defer func() {
-		_ = r.instance.Close() // the calls have their answers
+		_ = r.instance.Close() // all calls have been answered
 		r.closeServers()
 	}()
 	caller, err := newCaller(r)
--- a/internal/measure/extproc/processors.go
+++ b/internal/measure/extproc/processors.go
@@ -23,20 +23,20 @@
 	processorKind = "processor"
 )
 
-// Kinds are what this package's measurements start as processes of their own.
+// Kinds are the processes that this package's measurements start.
 var Kinds = process.Kinds{noopKind: serveNoop, processorKind: serveProcessor}
 
 const (
 	maxStreams    = 50_000
-	memoryLimitMB = 2048 // at the peak rate the instance remembers tens of thousands of keys
+	memoryLimitMB = 2048 // at the peak rate the instance stores tens of thousands of idempotency keys
 	costAttempts  = 3
 )
 
 // noop is a processor that decides nothing.
 type noop struct{}
 
-// Process answers each message at once. To request headers it names an endpoint, always the same: the least that a
-// processor that picks endpoints does.
+// Process responds to each message at once. Its response to request headers names an endpoint, always the same one: the
+// least that a processor that selects endpoints does.
 func (noop) Process(stream extprocv3.ExternalProcessor_ProcessServer) error {
 	for {
 		request, err := stream.Recv()
@@ -75,14 +75,14 @@
 	server := grpc.NewServer()
 	extprocv3.RegisterExternalProcessorServer(server, noop{})
 	var serving sync.WaitGroup
-	serving.Go(func() { _ = server.Serve(listener) }) // it ends with stop
+	serving.Go(func() { _ = server.Serve(listener) }) // stop ends it
 	return listener.Addr().String(), func() {
 		server.Stop()
 		serving.Wait()
 	}, nil
 }
 
-// serveProcessor serves pinedale-proxy's. Its argument is the address of a discovery.
+// serveProcessor serves the external processor of pinedale-proxy. Its argument is the address of discovery.
 func serveProcessor(args []string) (line string, stop func(), err error) {
 	file, err := config.Parse([]byte(configText(args[0], false, costAttempts)))
 	if err != nil {
@@ -95,5 +95,5 @@
 	if err != nil {
 		return "", nil, err
 	}
-	return instance.ExtProc.String(), func() {}, nil // open streams would hold up a graceful shutdown
+	return instance.ExtProc.String(), func() {}, nil // open streams would delay a graceful shutdown
 }
--- a/internal/measure/extproc/run.go
+++ b/internal/measure/extproc/run.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	proxyCount       = 4 // that the callers share
-	proxyConnections = 2 // of each
+	proxyCount       = 4 // shared by the callers
+	proxyConnections = 2 // of each proxy
 
-	// maxRemovalDelay is how long after its removal was published a server may get requests.
+	// maxRemovalDelay is how long a server may get requests after its removal was published.
 	maxRemovalDelay = 2 * time.Second
 
-	// maxMemory is the longest that the front may remember a request: twice the deadline and window of day-close,
-	// since a request that is repeated is remembered anew.
-	maxMemory = 40 * time.Second
+	// maxRetention is the longest time that the front may keep a request: twice the deadline and window of day-close,
+	// since a request that is repeated is recorded anew.
+	maxRetention = 40 * time.Second
 
-	// goroutineTimeout is how long goroutines may take to end after all is closed.
+	// goroutineTimeout is how long goroutines may take to end after everything is closed.
 	goroutineTimeout = 10 * time.Second
 )
 
-// sites of the servers, which take turns by pod.
+// sites of the servers, assigned in turn by pod.
 var sites = [...]string{"arusha", "dar"}
 
 // run is the state of a run.
@@ -47,7 +47,7 @@
 	removed map[*fakebackend.Server]time.Time
 }
 
-// Run makes a run. It returns an error if the run could not be made; which rules it broke is in the report.
+// Run runs the calls. It returns an error if they could not be run; rules that they violated are in the report.
 func Run(o Options) (*Report, error) {
 	r, err := startRun(o, fakebackend.Faults{Reject: 0.02, Error: 0.02, Reset: 0.01, Unresponsive: 0.0005})
 	if err != nil {
@@ -64,7 +64,7 @@
 	start := time.Now()
 	r.makeCalls()
 	r.report.Took = time.Since(start)
-	r.awaitForgotten()
+	r.awaitNoPending()
 	r.shutDown()
 	r.checkRemovals()
 	r.closeServers()
@@ -94,7 +94,7 @@
 	if r.discovery, err = fakediscovery.Start(); err != nil {
 		return nil, err
 	}
-	file, err := config.Parse([]byte(configText(r.discovery.Address, o.Short, o.maxAttempts())))
+	file, err := config.Parse([]byte(configText(r.discovery.Address, o.ShortWindows, o.maxAttempts())))
 	if err != nil {
 		return nil, err
 	}
@@ -155,7 +155,7 @@
 	})
 }
 
-// changeFleet replaces the oldest listed server by a new one. The old one goes on serving, to show what still arrives.
+// changeFleet replaces the oldest listed server by a new one. The old one keeps running, to record late requests.
 func (r *run) changeFleet() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,9 +169,9 @@
 	r.report.Removed++
 }
 
-// awaitForgotten waits until the instance remembers no request any more.
-func (r *run) awaitForgotten() {
-	for end := time.Now().Add(maxMemory); ; time.Sleep(20 * time.Millisecond) {
+// awaitNoPending waits until the instance keeps no state of requests, for at most maxRetention.
+func (r *run) awaitNoPending() {
+	for end := time.Now().Add(maxRetention); ; time.Sleep(20 * time.Millisecond) {
 		pending := &r.report.Pending
 		pending.waiting, pending.rounds, pending.entries = r.instance.InFlight()
 		pending.ledger = r.instance.Requests()
--- a/internal/measure/extproc/streams.go
+++ b/internal/measure/extproc/streams.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	pacedWorkers = 256 // that send at a rate
+	pacedWorkers = 256 // that send at a fixed rate
 	maxLateness  = time.Millisecond
 
 	openStreamCount = 5000
@@ -56,7 +56,7 @@
 	return request
 }
 
-// call opens a stream, takes the decision, reports 200 and ends the stream. It returns how long the decision took.
+// call opens a stream, receives the decision, reports 200 and ends the stream. It returns the latency of the decision.
 func (c *streamCaller) call(ctx context.Context) (time.Duration, error) {
 	request := c.nextRequest()
 	start := time.Now()
@@ -73,10 +73,10 @@
 		return latency, report(stream, decision.Endpoint)
 	}
 	if decision.Code != http.StatusServiceUnavailable {
-		return 0, fmt.Errorf("answered %d %s", decision.Code, decision.Body)
+		return 0, fmt.Errorf("unexpected immediate response %d %s", decision.Code, decision.Body)
 	}
-	// A rejection is a decision, too: before the balancer has learned how fast the servers are, it takes many
-	// concurrent requests for a queue.
+	// A rejection is a decision, too. Until the balancer has measured how fast the servers are, it takes many concurrent
+	// requests for a queue and rejects some.
 	c.rejected.Add(1)
 	_ = stream.CloseSend()
 	_, _ = stream.Recv() // the end of the stream
@@ -136,8 +136,8 @@
 	return float64(done.Load()) / span.Seconds(), nil
 }
 
-// callOpenLoop calls at a rate, whether decisions arrive or not, and returns the latencies of the decisions, counted
-// from when each call was due.
+// callOpenLoop makes calls at a rate, whether earlier decisions have arrived or not, and returns the latencies of the
+// decisions, each measured from the time at which the call was due.
 func (c *streamCaller) callOpenLoop(rate float64, span time.Duration) ([]time.Duration, error) {
 	count := int(rate * span.Seconds())
 	due := make(chan time.Time, count+1)
@@ -160,7 +160,7 @@
 	return latencies, err
 }
 
-// callWhenDue calls at the times that it receives, until there are none left or a call fails.
+// callWhenDue makes a call at each time that it receives, until the channel is closed or a call fails.
 func (c *streamCaller) callWhenDue(due <-chan time.Time) (latencies []time.Duration, err error) {
 	for dueAt := range due {
 		time.Sleep(time.Until(dueAt))
@@ -177,8 +177,8 @@
 	return latencies, nil
 }
 
-// measureOpenStreams opens streams that have their decision and stay open, and returns what each of them takes of the
-// processor's memory. idleMemory is what it takes without them.
+// measureOpenStreams opens streams that stay open after their decision, and returns the processor's memory for each of
+// them. idleMemory is the processor's memory without them.
 func (c *streamCaller) measureOpenStreams(processor *process.Process, idleMemory int64) (bytes int64, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
