--- a/internal/measure/endpointremoval/endpointremoval.go
+++ b/internal/measure/endpointremoval/endpointremoval.go
@@ -1,5 +1,5 @@
-// Package endpointremoval plays seeded scripts of faults of a coordination service against a complete pinedale-proxy
-// under load, and measures how soon the last request reaches a server after its node has ended.
+// Package endpointremoval runs seeded scripts of faults of a coordination service against a complete pinedale-proxy
+// under load, and measures the time from the removal of a server's node to the last request at the server.
 //
 //	endpointremoval.go  Options, Run and its report
 //	script.go           one script: the servers, the service, the proxy and its load
@@ -18,24 +18,24 @@
 // Options configure a measurement.
 type Options struct {
 	Scripts  int
-	Parallel int // scripts at once
-	Servers  int // of the fleet of each script at its start
-	Steps    int // of a script
+	Parallel int // scripts that run concurrently
+	Servers  int // at the start of each script
+	Steps    int // of each script
 	Seed     uint64
 
-	// Discovery has servers listed by discovery alone, which learns of each removal as late as the platform's does:
-	// after 0.6 to 5 s.
+	// Discovery has servers listed by discovery only. Like the discovery of the platform, it publishes each removal after
+	// 0.6 to 5 s.
 	Discovery bool
 }
 
-// maxRemovalDelay is how long after the end of its node a server may get requests. It does not hold for removals by
+// maxRemovalDelay is how long a server may get requests after its node was removed. It does not apply to removals by
 // discovery, which count from when they are published.
 const maxRemovalDelay = 2 * time.Second
 
 // Report is the result of a measurement.
 type Report struct {
 	Scripts  int
-	Removals []time.Duration // from the end of a node to the last request at its server; 0 if there was none
+	Removals []time.Duration // from the removal of a node to the last request at its server; 0 if there was none
 	Late     int             // of these, longer than maxRemovalDelay
 	Silences int             // steps in which the service did not respond or lost its nodes
 	Evicted  int             // servers that got no requests because of such a step
@@ -44,13 +44,13 @@
 	Steps    map[stepKind]int
 }
 
-// Run plays the scripts.
+// Run runs the scripts.
 func Run(o Options) (*Report, error) {
 	report := &Report{Scripts: o.Scripts, Steps: map[stepKind]int{}}
 	var mu sync.Mutex
 	err := harness.ForEach(o.Scripts, o.Parallel, func(number int) error {
 		s := newScript(&o, number)
-		err := s.play()
+		err := s.run()
 		mu.Lock()
 		defer mu.Unlock()
 		report.add(s)
@@ -75,13 +75,13 @@
 	}
 }
 
-// Violation returns which rule was violated, "" for none.
+// Violation describes the rule that was violated, "" for none.
 func (r *Report) Violation() string {
 	switch {
 	case r.Late > 0:
-		return fmt.Sprintf("%d servers had a request over 2 s after their node's end", r.Late)
+		return fmt.Sprintf("%d servers got a request more than 2 s after the removal of their node", r.Late)
 	case r.Evicted > 0:
-		return fmt.Sprintf("%d servers were left out while the service was silent or had lost its nodes", r.Evicted)
+		return fmt.Sprintf("%d servers got no requests while the service did not respond or had lost its nodes", r.Evicted)
 	}
 	return ""
 }
@@ -92,7 +92,7 @@
 		return harness.Percentile(r.Removals, percent).Round(time.Microsecond)
 	}
 	fmt.Fprintf(w, "%d scripts, %d requests, %d not served; steps %v\n", r.Scripts, r.Requests, r.Failed, r.Steps)
-	fmt.Fprintf(w, "%d removals: last request after the node's end, median %v, 99th percentile %v, most %v; over 2 s %d\n",
+	fmt.Fprintf(w, "%d removals: last request after the removal, median %v, 99th percentile %v, maximum %v; over 2 s %d\n",
 		len(r.Removals), percentile(50), percentile(99), percentile(100), r.Late)
-	fmt.Fprintf(w, "%d silences and losses: servers left out %d\n", r.Silences, r.Evicted)
+	fmt.Fprintf(w, "%d outages and losses of nodes: evicted servers %d\n", r.Silences, r.Evicted)
 }
--- a/internal/measure/endpointremoval/endpointremoval_test.go
+++ b/internal/measure/endpointremoval/endpointremoval_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// A few of the scripts of the operators' page, with every commit.
+// A few scripts of the command removal, for every commit.
 func TestScriptsRemoveInTimeAndEvictNoServer(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	r, err := Run(Options{Scripts: 16, Parallel: 16, Servers: 4, Steps: 3, Seed: 1})
@@ -17,7 +17,7 @@
 		t.Error(reason)
 	}
 	if len(r.Removals) < 5 || r.Silences < 3 || r.Requests < 5000 {
-		t.Errorf("the scripts did not cause what they are for: %+v", r)
+		t.Errorf("the scripts did not cause enough removals, outages and requests: %+v", r)
 	}
 	t.Logf("%+v", r)
 }
--- a/internal/measure/endpointremoval/script.go
+++ b/internal/measure/endpointremoval/script.go
@@ -21,19 +21,19 @@
 const (
 	rootPath = "/soko" // of the nodes
 
-	// sessionTimeout is short, so that a service that does not respond is noticed within a script.
+	// sessionTimeout is short, so that a service that does not respond is detected within a script.
 	sessionTimeout = time.Second
 
 	serviceMembers = 2
 
 	clientCount      = 4
 	clientTimeout    = 5 * time.Second
-	requestTimeout   = 900 * time.Millisecond // that a request states
+	requestTimeout   = 900 * time.Millisecond // stated in each request
 	requestInterval  = 2 * time.Millisecond
 	minStepInterval  = 50 * time.Millisecond
-	stepIntervalSpan = 200 * time.Millisecond // added at random
+	stepIntervalSpan = 200 * time.Millisecond // range of the random part of a step interval
 
-	// finalWait is longer than maxRemovalDelay, so that requests that are sent later are seen.
+	// finalWait is longer than maxRemovalDelay, so that requests that arrive too late are recorded.
 	finalWait = maxRemovalDelay + 200*time.Millisecond
 
 	// A removal reaches discovery after a random time between these.
@@ -66,7 +66,7 @@
 address = %q
 `
 
-// script is one script.
+// script is the state of one script.
 type script struct {
 	options   *Options
 	random    *rand.Rand
@@ -77,9 +77,9 @@
 
 	servers []*fakebackend.Server             // all that were started
 	listed  []*fakebackend.Server             // those with a node
-	removed map[*fakebackend.Server]time.Time // when their node ended
+	removed map[*fakebackend.Server]time.Time // when their node was removed
 
-	lagging sync.WaitGroup // removals that discovery does not know yet
+	pendingWithdrawals sync.WaitGroup // removals that discovery has not published yet
 
 	requests, failed atomic.Int64
 
@@ -100,8 +100,8 @@
 	}
 }
 
-// play plays the script.
-func (s *script) play() error {
+// run runs the script.
+func (s *script) run() error {
 	defer s.close()
 	if err := s.start(); err != nil {
 		return err
@@ -111,7 +111,7 @@
 		time.Sleep(minStepInterval + time.Duration(s.random.IntN(int(stepIntervalSpan/time.Millisecond)))*time.Millisecond)
 		s.step()
 	}
-	s.lagging.Wait()
+	s.pendingWithdrawals.Wait()
 	time.Sleep(finalWait)
 	clients.Stop()
 	s.measureRemovals()
@@ -136,7 +136,7 @@
 	return err
 }
 
-// sourceConfig returns the section of the operator's file from which the proxy learns of servers.
+// sourceConfig returns the section of the operator's file with the source of the proxy's servers.
 func (s *script) sourceConfig() string {
 	if s.options.Discovery {
 		return fmt.Sprintf(discoverySection, s.discovery.Address)
@@ -147,9 +147,9 @@
 
 // close stops all that was started.
 func (s *script) close() {
-	s.lagging.Wait()
+	s.pendingWithdrawals.Wait()
 	if s.instance != nil {
-		_ = s.instance.Close() // the clients have counted the answers
+		_ = s.instance.Close() // the clients have counted the responses
 	}
 	for _, server := range s.servers {
 		server.Close()
@@ -218,7 +218,7 @@
 	s.service.Put(nodePath(server), data)
 }
 
-// publish replaces discovery's list by the servers that have a node.
+// publish replaces discovery's list with the servers that have a node.
 func (s *script) publish() {
 	s.changeList(func([]fakediscovery.Host) []fakediscovery.Host {
 		hosts := []fakediscovery.Host{}
@@ -236,7 +236,7 @@
 	})
 }
 
-// changeList replaces discovery's list by what change returns for a copy of it.
+// changeList replaces discovery's list with what change returns for a copy of it.
 func (s *script) changeList(change func([]fakediscovery.Host) []fakediscovery.Host) {
 	s.discovery.Change(func() {
 		previous := s.discovery.List
@@ -248,7 +248,8 @@
 	})
 }
 
-// removeServer ends the node of a server. The server itself goes on, to show which requests still arrive.
+// removeServer removes the node of a random server. The server itself keeps running, to record requests that still
+// arrive.
 func (s *script) removeServer() {
 	index := s.random.IntN(len(s.listed))
 	server := s.listed[index]
@@ -259,7 +260,7 @@
 		return
 	}
 	lag := minDiscoveryLag + time.Duration(s.random.Float64()*float64(maxDiscoveryLag-minDiscoveryLag))
-	s.lagging.Go(func() {
+	s.pendingWithdrawals.Go(func() {
 		time.Sleep(lag)
 		s.withdraw(server)
 	})
--- a/internal/measure/endpointremoval/steps.go
+++ b/internal/measure/endpointremoval/steps.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// stepKind is a step of a script, as it is printed.
+// stepKind is the kind of a step of a script, as it is printed.
 type stepKind string
 
 const (
-	stepRemove  stepKind = "remove"  // the node of a server ends
+	stepRemove  stepKind = "remove"  // the node of a server is removed
 	stepAdd     stepKind = "add"     // a server starts
-	stepFlap    stepKind = "flap"    // the node of a server ends and returns several times
+	stepFlap    stepKind = "flap"    // the node of a server is removed and returns several times
 	stepBreak   stepKind = "break"   // the connections of a member of the service are closed
 	stepSilence stepKind = "silence" // the service does not respond
 	stepReject  stepKind = "refuse"  // the service rejects connections
@@ -17,31 +17,32 @@
 	stepSlow    stepKind = "slow"    // the service responds late
 )
 
-// stepKinds are what a step is drawn from.
+// stepKinds are the kinds that a step is drawn from.
 var stepKinds = []stepKind{
 	stepRemove, stepRemove, stepAdd, stepFlap, stepBreak, stepSilence, stepReject, stepLose, stepRestart, stepSlow,
 }
 
 const (
-	// minServers are left by removals.
+	// minServers is the smallest number of servers that removals leave listed.
 	minServers = 2
 
 	flaps       = 5
 	flapAbsence = 20 * time.Millisecond
 	flapReturn  = 30 * time.Millisecond
-	// flapSettle is how long a node that has flapped must stay until its server gets requests again.
+	// flapSettle is how long a node that has flapped must exist until its server gets requests again.
 	flapSettle = 5 * time.Second
 
 	slowResponse = 100 * time.Millisecond
 	slowTime     = 300 * time.Millisecond
 
-	// reconnectTime is how long the proxy may take to connect again. A node that ends before is noticed then.
+	// reconnectTime is how long the proxy may take to connect again. Until then, it does not notice nodes that
+	// are removed.
 	reconnectTime = 3 * sessionTimeout
 
-	maxTransactionShift = 200 // of a restart, in either direction
+	maxTransactionShift = 200 // shift of the transaction numbers at a restart, in either direction
 )
 
-// step makes a random step.
+// step runs a random step.
 func (s *script) step() {
 	kind := s.drawStep()
 	s.steps[kind]++
@@ -49,15 +50,15 @@
 	case stepRemove:
 		s.removeServer()
 	case stepAdd:
-		_ = s.addServer() // a script goes on with the servers that it has
+		_ = s.addServer() // on an error, the script continues with the servers that it has
 	case stepFlap:
 		s.flap()
 	case stepBreak:
 		s.service.Member(s.random.IntN(serviceMembers)).CloseConnections()
 	case stepSilence:
-		s.disturb(s.service.SetUnresponsive)
+		s.disruptService(s.service.SetUnresponsive)
 	case stepReject:
-		s.disturb(s.service.SetRejecting)
+		s.disruptService(s.service.SetRejecting)
 	case stepLose:
 		s.loseNodes()
 	case stepRestart:
@@ -82,7 +83,7 @@
 	return kind
 }
 
-// flap ends and registers the node of a server several times.
+// flap removes and registers the node of a server several times.
 func (s *script) flap() {
 	server := s.randomServer()
 	for range flaps {
@@ -94,8 +95,8 @@
 	time.Sleep(flapSettle)
 }
 
-// disturb disturbs the service for longer than a session lasts.
-func (s *script) disturb(set func(disturbed bool)) {
+// disruptService sets a fault of the service for longer than a session lasts.
+func (s *script) disruptService(set func(enabled bool)) {
 	s.silences++
 	set(true)
 	s.countEvicted(sessionTimeout + time.Second)
--- a/internal/measure/zookeeper/zookeeper.go
+++ b/internal/measure/zookeeper/zookeeper.go
@@ -1,5 +1,5 @@
-// Package zookeeper measures what reading membership from ephemeral nodes costs, by the number of nodes and by how
-// often they change.
+// Package zookeeper measures the cost of reading membership from ephemeral nodes, by the number of nodes and by the
+// rate of their changes.
 package zookeeper
 
 import (
@@ -22,7 +22,7 @@
 
 const readerKind = "reader"
 
-// Kinds are what this package's measurements start as processes of their own.
+// Kinds are the processes that this package's measurements start.
 var Kinds = process.Kinds{readerKind: serveReader}
 
 const (
@@ -37,10 +37,10 @@
 // changeRates are the changes per second of the steps at each size.
 var changeRates = [...]int{0, 10, 40}
 
-// changingNodes is the part of the nodes that change in turn: one in so many.
-const changingNodes = 10
+// changingNodesDivisor determines how many nodes change in turn: the number of nodes divided by it.
+const changingNodesDivisor = 10
 
-// serveReader reads the directory of the service at the given addresses, reconciles it and drops the lists. Its line
+// serveReader reads the directory of the service at the given addresses, reconciles it and discards the lists. Its line
 // is the number of endpoints in the first complete list.
 func serveReader(addresses []string) (line string, stop func(), err error) {
 	log := slog.New(slog.DiscardHandler)
@@ -58,9 +58,9 @@
 	listed := make(chan int, 1)
 	var watching sync.WaitGroup
 	watching.Go(func() {
-		// It ends with ctx.
+		// Watch returns when ctx ends.
 		_, _ = source.Watch(ctx, nil, func(_ balancer.ListKind, list engine.List) {
-			if list.Complete { // the first list alone
+			if list.Complete { // true for the first list only
 				listed <- len(list.Hosts)
 			}
 		})
@@ -72,10 +72,10 @@
 }
 
 // Run measures directories of several sizes: at rest, and while a tenth of the nodes change in turn, 10 and 40 times
-// a second. Each step takes span. It writes a row as soon as it is measured.
+// a second. Each step takes span. Run writes each row as soon as it is measured.
 func Run(w io.Writer, span time.Duration) error {
 	fmt.Fprintf(w, "%8s %12s %18s %18s %18s %14s\n",
-		"nodes", "heap, KB", "at rest, ms/s", "10 changes, ms/s", "40 changes, ms/s", "us a change")
+		"nodes", "heap, KB", "at rest, ms/s", "10 changes, ms/s", "40 changes, ms/s", "us per change")
 	for _, nodes := range nodeCounts {
 		result, err := measure(nodes, span)
 		if err != nil {
@@ -100,7 +100,7 @@
 		r.nodes, float64(r.memory)/1024, r.cpu[0], r.cpu[1], r.cpu[2], perChange)
 }
 
-// measurement is that of one size.
+// measurement measures a directory of one size.
 type measurement struct {
 	nodes   int
 	span    time.Duration
@@ -123,7 +123,7 @@
 	}
 	defer m.reader.Stop()
 	if m.reader.Line != strconv.Itoa(nodes) {
-		return nil, fmt.Errorf("the reader found %s", m.reader.Line)
+		return nil, fmt.Errorf("the reader listed %s nodes", m.reader.Line)
 	}
 	result := &result{nodes: nodes}
 	for i, rate := range changeRates {
@@ -162,7 +162,7 @@
 // change deletes and registers nodes in turn, at a rate per second, until the span is over.
 func (m *measurement) change(rate int, start time.Time) {
 	for i := 0; time.Since(start) < m.span; i++ {
-		node := i / 2 % max(1, m.nodes/changingNodes)
+		node := i / 2 % max(1, m.nodes/changingNodesDivisor)
 		if i%2 == 0 {
 			m.service.Delete(nodePath(node))
 		} else {
--- a/internal/measure/zookeeper/zookeeper_test.go
+++ b/internal/measure/zookeeper/zookeeper_test.go
@@ -11,7 +11,7 @@
 	"pinedale/internal/measure/process"
 )
 
-// The tests' program starts itself once more as the reader.
+// TestMain runs the reader if the test executable was started for it, and the tests otherwise.
 func TestMain(m *testing.M) {
 	started, err := process.Main(Kinds)
 	if !started {
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if result.nodes != nodes || result.memory <= 0 {
-		t.Errorf("%+v", result)
+		t.Errorf("got %+v, want %d nodes and a memory above 0", result, nodes)
 	}
 	for i, rate := range changeRates {
 		if result.cpu[i] < 0 {
@@ -39,6 +39,6 @@
 	}
 	var out bytes.Buffer
 	if result.print(&out); len(strings.Fields(out.String())) != 6 {
-		t.Errorf("printed %q", out.String())
+		t.Errorf("print wrote %q, want 6 columns", out.String())
 	}
 }
