--- a/internal/measure/reconnect/client.go
+++ b/internal/measure/reconnect/client.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// retryInterval is how long an instance without a turn waits for the next attempt, as clients do.
+	// retryInterval is how long an instance waits after a failed attempt to connect, as clients do.
 	retryInterval = 100 * time.Millisecond
 
 	cachedSessions = 4096
@@ -29,7 +29,7 @@
 	succeeded, rejected, timedOut int
 }
 
-// count counts an attempt. One that ctx has cut off is none.
+// count counts an attempt to connect, unless it was interrupted by the end of ctx.
 func (o *outcomes) count(ctx context.Context, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// instance is one that connects to the servers.
+// instance is a sidecar instance that connects to the servers.
 type instance struct {
 	client *secure.Client
 	counts *outcomes
@@ -70,7 +70,7 @@
 }
 
 // connectUntilDone attempts to connect until a connection was established, or ctx ends. It closes the connection at
-// once, since descriptors are few.
+// once, since file descriptors are limited.
 func (i *instance) connectUntilDone(ctx context.Context, target *engine.Target) {
 	for {
 		conn, err := i.connect(ctx, target)
@@ -87,7 +87,7 @@
 	}
 }
 
-// connect takes a turn and does a handshake.
+// connect waits for the handshake budget and does a handshake.
 func (i *instance) connect(ctx context.Context, target *engine.Target) (net.Conn, error) {
 	if err := i.client.AwaitTurn(ctx, target); err != nil {
 		return nil, err
--- a/internal/measure/reconnect/reconnect.go
+++ b/internal/measure/reconnect/reconnect.go
@@ -1,6 +1,6 @@
-// Package reconnect measures how a complete fleet is connected to again after an outage, with a budget of handshakes
-// and without: how many handshakes a server gets in its busiest second, and how long it takes until every instance has
-// all its connections. Handshakes are real ones, over TLS on loopback.
+// Package reconnect measures how instances reconnect to a complete fleet after an outage, with a handshake budget and
+// without: how many handshakes a server gets in its busiest second, and how long it takes until every instance has all
+// its connections. The handshakes are real, over TLS on loopback.
 //
 //	reconnect.go  Options, Run, RunAll and the results
 //	client.go     the instances that connect
@@ -24,8 +24,8 @@
 type Options struct {
 	Servers     int
 	Instances   int
-	Connections int           // that an instance wants with each server
-	Budget      bool          // keep to Limit and All
+	Connections int           // of each instance with each server
+	Budget      bool          // enforce Limit and All
 	Limit       float64       // handshakes per second that a server may have with all instances
 	All         float64       // handshakes per second that one instance may have with all servers
 	Warming     bool          // the servers have just started
@@ -35,11 +35,11 @@
 // Result is the result of one reconnection.
 type Result struct {
 	Options
-	Peak       int           // handshakes in the busiest second of a server, the worst of all servers
-	Bound      float64       // on Peak by the budgets of all instances; 0 without a budget
+	Peak       int           // handshakes in the busiest second of a server, the highest of all servers
+	Bound      float64       // upper bound of Peak by the budgets of all instances; 0 without a budget
 	Handshakes int           // that succeeded
 	Completed  time.Duration // until all connections were established; negative if they were not within Timeout
-	Rejected   int           // turns that were rejected and requested again
+	Rejected   int           // attempts that the handshake budget rejected and that were repeated
 	TimedOut   int           // handshakes that did not end in time and were made again
 }
 
@@ -64,8 +64,8 @@
 	{servers: 2000, connections: 1},
 }
 
-// RunAll measures fleets of several sizes, warm and just started, without a budget and with it. Of the options it uses
-// those that are the same for all.
+// RunAll measures fleets of several sizes, with servers that have just started and with others, without a budget and
+// with it. It sets Servers, Connections, Warming and Budget itself.
 func RunAll(o Options) (Results, error) {
 	var results Results
 	for _, fleet := range fleets {
@@ -117,7 +117,7 @@
 	return result, nil
 }
 
-// connectAll has all instances connect to all servers, until all connections were established or the time is over.
+// connectAll has all instances connect to all servers, until all connections were established or o.Timeout has passed.
 func connectAll(
 	o Options, files *ca.Folder, budget handshake.Config, targets []*engine.Target, counts *outcomes,
 ) error {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// budget returns the handshakes that one instance may do.
+// budget returns the handshake budget of one instance.
 func (o *Options) budget() handshake.Config {
 	if !o.Budget {
 		return handshake.Config{
--- a/internal/measure/reconnect/reconnect_test.go
+++ b/internal/measure/reconnect/reconnect_test.go
@@ -35,11 +35,11 @@
 				t.Errorf("not all connections were established: %+v", result)
 			}
 			if hasBound := result.Bound > 0; hasBound != c.budget || result.Peak < 1 {
-				t.Errorf("%d handshakes in a second, bound %.0f", result.Peak, result.Bound)
+				t.Errorf("%d handshakes in the busiest second, bound %.0f", result.Peak, result.Bound)
 			}
 			var out bytes.Buffer
 			if (Results{result}).Print(&out); strings.Count(out.String(), "\n") != 2 {
-				t.Errorf("printed %q", out.String())
+				t.Errorf("Print wrote %q, want 2 lines", out.String())
 			}
 		})
 	}
--- a/internal/measure/reconnect/servers.go
+++ b/internal/measure/reconnect/servers.go
@@ -87,7 +87,7 @@
 	s.handshakes[server] = append(s.handshakes[server], start)
 }
 
-// close stops accepting, and waits for the handshakes that have begun. Their clients have ended.
+// close stops accepting, and waits for the handshakes that have begun. It is called after the clients have ended.
 func (s *servers) close() {
 	for _, listener := range s.listeners {
 		listener.Close()
@@ -95,7 +95,7 @@
 	s.serving.Wait()
 }
 
-// peak returns the handshakes in the busiest second of a server, the worst of all servers.
+// peak returns the handshakes in the busiest second of a server, the highest of all servers.
 func (s *servers) peak() (highest int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 // maxPerSecond returns the largest number of times within a second. It sorts the times.
 func maxPerSecond(times []time.Time) (highest int) {
 	slices.SortFunc(times, time.Time.Compare)
-	first := 0 // of the second that ends with the last one
+	first := 0 // index of the first time in the second that ends with times[last]
 	for last := range times {
 		for times[last].Sub(times[first]) >= time.Second {
 			first++
--- a/internal/measure/rotations/load.go
+++ b/internal/measure/rotations/load.go
@@ -12,24 +12,24 @@
 	"pinedale/internal/measure/harness"
 )
 
-// load is the requests of all clients.
+// load has the requests of all clients.
 type load struct {
-	rig        *rig
+	testbed    *testbed
 	handshakes atomic.Int64
 	lastID     atomic.Int64
 
 	mu       sync.Mutex
 	requests int
-	failed   map[string]int // by what the client saw
+	failed   map[string]int // by the error or status that the client got
 }
 
-func newLoad(r *rig) *load { return &load{rig: r, failed: map[string]int{}} }
+func newLoad(r *testbed) *load { return &load{testbed: r, failed: map[string]int{}} }
 
-// run sends one request after the other until ctx ends. Every other client pays. Each client has a connection of its
-// own, which the front may close.
+// run sends one request after the other until ctx ends. Every other client sends requests with an idempotency key. Each
+// client has a connection of its own, which the front may close.
 func (l *load) run(ctx context.Context, number int) {
 	transport := &http.Transport{TLSClientConfig: &tls.Config{
-		InsecureSkipVerify: true, // verify is in its place
+		InsecureSkipVerify: true, // VerifyConnection verifies instead
 		VerifyConnection:   l.verify,
 	}}
 	defer transport.CloseIdleConnections()
@@ -39,10 +39,10 @@
 	}
 }
 
-// verify verifies the front's certificate by the roots that clients trust now.
+// verify verifies the front's certificate against the roots that clients trust now.
 func (l *load) verify(state tls.ConnectionState) error {
 	l.handshakes.Add(1)
-	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: l.rig.clientRoots.Load()})
+	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: l.testbed.clientRoots.Load()})
 	return err
 }
 
@@ -50,7 +50,7 @@
 func (l *load) send(client *http.Client, pays bool) (reason string) {
 	id := l.lastID.Add(1)
 	request := &harness.Request{
-		URL:     "https://" + l.rig.instance.HTTP.String(),
+		URL:     "https://" + l.testbed.instance.HTTP.String(),
 		ID:      fmt.Sprint("r-", id),
 		Class:   classPriceCheck,
 		Timeout: classTimeout,
--- a/internal/measure/rotations/rig.go
+++ b/internal/measure/rotations/rig.go
@@ -18,13 +18,13 @@
 
 // The names of the keys in the operator's file.
 const (
-	frontKeys = "front" // shown to clients
-	fleetKeys = "fleet" // shown to servers, and the roots that verify them
+	frontKeys = "front" // presented to clients
+	fleetKeys = "fleet" // presented to servers, with the roots that verify servers
 )
 
 const (
 	frontCertName  = "127.0.0.1"
-	clientCertName = "pinedale.example.org" // that the proxy shows to servers
+	clientCertName = "pinedale.example.org" // of the certificate that the proxy presents to servers
 
 	serviceTime = time.Millisecond
 
@@ -78,8 +78,8 @@
 	payWindow    balancer.Micros = 30_000_000
 )
 
-// rig is the proxy with its servers and the certificates of all sides.
-type rig struct {
+// testbed is the proxy with its servers and the certificates of all sides.
+type testbed struct {
 	options Options
 
 	root, nextRoot *ca.Authority
@@ -92,12 +92,12 @@
 	servers  []*fakebackend.Server
 }
 
-// newRig issues all certificates and starts the servers and the proxy.
-func newRig(o Options) (r *rig, err error) {
-	r = &rig{options: o}
+// newTestbed issues all certificates and starts the servers and the proxy.
+func newTestbed(o Options) (r *testbed, err error) {
+	r = &testbed{options: o}
 	defer func() {
 		if err != nil {
-			_ = r.close() // the error is the cause
+			_ = r.close() // the caller gets the first error
 		}
 	}()
 	if err := r.issueAll(); err != nil {
@@ -128,7 +128,7 @@
 }
 
 // close stops the proxy and the servers, as far as they were started.
-func (r *rig) close() (err error) {
+func (r *testbed) close() (err error) {
 	if r.instance != nil {
 		err = r.instance.Close()
 	}
@@ -138,8 +138,8 @@
 	return err
 }
 
-// issueAll makes the first two roots, and the certificates of all sides by the first.
-func (r *rig) issueAll() (err error) {
+// issueAll creates the first two roots, and issues the certificates of all sides by the first.
+func (r *testbed) issueAll() (err error) {
 	r.root, r.nextRoot = r.newTrustedRoot(0), r.newTrustedRoot(1)
 	frontFiles, frontErr := makeFolder(r.options.Dir, frontKeys)
 	fleetFiles, fleetErr := makeFolder(r.options.Dir, fleetKeys)
@@ -164,16 +164,16 @@
 }
 
 // serverNames returns the names that the servers' certificate is for.
-func (r *rig) serverNames() (names []string) {
+func (r *testbed) serverNames() (names []string) {
 	for n := range r.options.Servers {
 		names = append(names, fmt.Sprintf("s-%d.example.org", n))
 	}
 	return names
 }
 
-// newTrustedRoot makes a root that clients trust from now on. They trust it for good, since the proxy's side of a
-// rotation is measured, not theirs.
-func (r *rig) newTrustedRoot(number int) *ca.Authority {
+// newTrustedRoot creates a root that clients trust from now on. Clients never stop trusting a root, since the rotation
+// of the proxy is measured, not theirs.
+func (r *testbed) newTrustedRoot(number int) *ca.Authority {
 	root := ca.New(ca.PanicOnFatal{}, fmt.Sprint("root ", number))
 	pool := x509.NewCertPool()
 	if trusted := r.clientRoots.Load(); trusted != nil {
--- a/internal/measure/rotations/rotate.go
+++ b/internal/measure/rotations/rotate.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// reloadTimeout is how long a change of files may take to be accepted. By notification that takes well under a second,
-// without it up to the poll interval of half a minute.
+// reloadTimeout is how long the proxy may take to accept changed files: well under a second with file notifications, up
+// to the poll interval of half a minute without them.
 const reloadTimeout = 40 * time.Second
 
 // rotateAll makes all changes and returns their number.
-func (r *rig) rotateAll() (rotations int, err error) {
+func (r *testbed) rotateAll() (rotations int, err error) {
 	for ; rotations < r.options.Rotations; rotations++ {
 		if err := r.rotate(rotations); err != nil {
 			return rotations, err
@@ -20,8 +20,8 @@
 	return rotations, nil
 }
 
-// rotate makes the change of a number. Six of them make a round, after which the next root has replaced the first.
-func (r *rig) rotate(number int) error {
+// rotate makes the change with the given number. After each round of six changes, the next root has replaced the first.
+func (r *testbed) rotate(number int) error {
 	const changesPerRound = 6
 	switch number % changesPerRound {
 	case 0:
@@ -40,13 +40,13 @@
 }
 
 // replaceServerCertificate replaces the certificate of the servers.
-func (r *rig) replaceServerCertificate() error {
+func (r *testbed) replaceServerCertificate() error {
 	r.credentials.SetCertificate(r.root.IssueFor(validity, r.serverNames()...))
 	return nil
 }
 
-// replaceClientCertificate replaces what the proxy shows to servers: the key, and then the certificate.
-func (r *rig) replaceClientCertificate() error {
+// replaceClientCertificate replaces the key and then the certificate that the proxy presents to servers.
+func (r *testbed) replaceClientCertificate() error {
 	return r.awaitReload(fleetKeys, func() {
 		pair := r.root.IssueFor(validity, clientCertName)
 		r.fleet.WriteFile(r.fleet.Key, pair.Key)
@@ -54,28 +54,28 @@
 	})
 }
 
-// replaceFrontCertificate replaces what the proxy shows to clients: the certificate, and then the key.
-func (r *rig) replaceFrontCertificate() error {
+// replaceFrontCertificate replaces the certificate and then the key that the proxy presents to clients.
+func (r *testbed) replaceFrontCertificate() error {
 	return r.awaitReload(frontKeys, func() { r.front.WritePair(r.root.IssueFor(validity, frontCertName)) })
 }
 
 // trustBothRoots has both sides trust the next root, too.
-func (r *rig) trustBothRoots() error {
+func (r *testbed) trustBothRoots() error {
 	r.credentials.SetClientCAs(r.root, r.nextRoot)
 	return r.awaitReload(fleetKeys, func() {
 		r.fleet.WriteFile(r.fleet.Roots, r.root.PEM(), r.nextRoot.PEM())
 	})
 }
 
-// issueByNextRoot replaces the certificates of both sides by those of the next root.
-func (r *rig) issueByNextRoot() error {
+// issueByNextRoot replaces the certificates of both sides with certificates of the next root.
+func (r *testbed) issueByNextRoot() error {
 	r.credentials.SetCertificate(r.nextRoot.IssueFor(validity, r.serverNames()...))
 	return r.awaitReload(fleetKeys, func() { r.fleet.WritePair(r.nextRoot.IssueFor(validity, clientCertName)) })
 }
 
-// removeOldRoot has both sides trust the next root alone, while connections are open, and makes the root of the round
+// removeOldRoot has both sides trust the next root only, while connections are open, and creates the root of the round
 // after this one.
-func (r *rig) removeOldRoot(round int) error {
+func (r *testbed) removeOldRoot(round int) error {
 	err := r.awaitReload(fleetKeys, func() { r.fleet.WriteFile(r.fleet.Roots, r.nextRoot.PEM()) })
 	r.credentials.SetClientCAs(r.nextRoot)
 	r.root, r.nextRoot = r.nextRoot, r.newTrustedRoot(round+2)
@@ -83,13 +83,13 @@
 }
 
 // awaitReload changes files and waits until the proxy has accepted them.
-func (r *rig) awaitReload(keys string, change func()) error {
+func (r *testbed) awaitReload(keys string, change func()) error {
 	before := r.instance.Keys()[keys].Accepted
 	change()
 	end := time.Now().Add(reloadTimeout)
 	for r.instance.Keys()[keys].Accepted == before {
 		if time.Now().After(end) {
-			return fmt.Errorf("a change of the keys %q was not taken within %v", keys, reloadTimeout)
+			return fmt.Errorf("a change of the keys %q was not accepted within %v", keys, reloadTimeout)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/measure/rotations/rotations.go
+++ b/internal/measure/rotations/rotations.go
@@ -1,6 +1,5 @@
-// Package rotations measures what changes of certificates cost the requests that arrive meanwhile: a complete
-// pinedale-proxy between clients and servers, with TLS on both sides, certificates and roots replaced over and over on
-// either side.
+// Package rotations measures whether requests fail while certificates change. It runs a complete pinedale-proxy between
+// clients and servers, with TLS on both sides, and replaces the certificates and roots of either side repeatedly.
 //
 //	rotations.go  Options, Run and its result
 //	rig.go        the proxy, the servers and their certificates
@@ -34,17 +33,17 @@
 type Result struct {
 	Rotations        int
 	Requests         int
-	Failed           map[string]int // requests by what the client saw
-	Duplicates       []string       // effects that a server had twice
+	Failed           map[string]int // requests by the error or status that the client got
+	Duplicates       []string       // effects that were executed more than once
 	Upstream         secure.Counters
 	Stores           map[string]certstore.Counters // by name of the keys
 	ClientHandshakes int                           // of the clients with the front
 }
 
-// Run measures.
+// Run runs the measurement.
 func Run(o Options) (result *Result, err error) {
 	defer recoverError(&err)
-	r, err := newRig(o)
+	r, err := newTestbed(o)
 	if err != nil {
 		return nil, err
 	}
@@ -75,37 +74,37 @@
 	}
 }
 
-// cancelledHandshake is the reason of a handshake for which no request waited any more.
+// cancelledHandshake is the failure reason of a handshake that was cancelled, as no request waited for it any more.
 const cancelledHandshake = "called off"
 
-// Violation returns which rules were violated, "" for none.
+// Violation describes the rules that were violated, "" for none.
 func (r *Result) Violation() string {
-	var broken []string
+	var violations []string
 	for reason, count := range r.Failed {
-		broken = append(broken, fmt.Sprintf("%d requests: %s", count, reason))
+		violations = append(violations, fmt.Sprintf("%d requests failed: %s", count, reason))
 	}
 	if len(r.Duplicates) > 0 {
-		broken = append(broken, fmt.Sprintf("%d effects were done twice", len(r.Duplicates)))
+		violations = append(violations, fmt.Sprintf("%d effects were executed more than once", len(r.Duplicates)))
 	}
 	for reason, count := range r.Upstream.Failed {
 		if reason != cancelledHandshake {
-			broken = append(broken, fmt.Sprintf("%d handshakes: %s", count, reason))
+			violations = append(violations, fmt.Sprintf("%d handshakes failed: %s", count, reason))
 		}
 	}
-	return strings.Join(broken, "; ")
+	return strings.Join(violations, "; ")
 }
 
 // Print writes the result as text.
 func (r *Result) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d rotations under %d requests: %d failed, %d effects twice\n",
+	fmt.Fprintf(w, "%d rotations under %d requests: %d failed, %d duplicate effects\n",
 		r.Rotations, r.Requests, sum(r.Failed), len(r.Duplicates))
 	fmt.Fprintf(w, "handshakes with servers: %d full, %d resumed, %d failed; with clients: %d\n",
 		r.Upstream.Full, r.Upstream.Resumed, sum(r.Upstream.Failed), r.ClientHandshakes)
 	turns := r.Upstream.Turns
-	fmt.Fprintf(w, "turns for them: %d at once, %d waited for, %d refused, %d put off\n",
+	fmt.Fprintf(w, "handshake budget: %d immediate, %d delayed, %d rejected, %d deferred\n",
 		turns.Immediate, turns.Delayed, turns.Rejected, turns.Deferred)
 	for name, store := range r.Stores {
-		fmt.Fprintf(w, "keys %q: %d taken, %d looks kept what served\n", name, store.Accepted, store.Rejected)
+		fmt.Fprintf(w, "keys %q: %d changes accepted, %d rejected\n", name, store.Accepted, store.Rejected)
 	}
 }
 
--- a/internal/measure/rotations/rotations_test.go
+++ b/internal/measure/rotations/rotations_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Three rounds of rotations on either side, roots included, under load: no request fails because of one, no effect is
-// duplicated, and no server's verification fails. The command makes 500.
+// Three rounds of rotations on either side, with the roots, under load: no request fails because of a rotation, no
+// effect is duplicated, and no verification of a server fails. The command rotations makes 500 changes.
 func TestNoRequestFailsBecauseOfRotation(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -32,7 +32,7 @@
 			}
 			fleet, front := result.Stores[fleetKeys], result.Stores[frontKeys]
 			if fleet.Accepted < 13 || front.Accepted < 4 || result.Upstream.Full == 0 {
-				t.Errorf("too little has changed: %+v", result)
+				t.Errorf("too few changes of keys were accepted, or no full handshake was done: %+v", result)
 			}
 		})
 	}
--- a/internal/measure/tlscost/certificates.go
+++ b/internal/measure/tlscost/certificates.go
@@ -12,7 +12,7 @@
 	"pinedale/internal/standin/ca"
 )
 
-// newKeyFunc makes the key of a certificate. A nil one makes keys of P-256.
+// newKeyFunc makes the key of a certificate. If it is nil, the key is an ECDSA key on P-256.
 type newKeyFunc func() (crypto.Signer, error)
 
 const rsaKeyBits = 2048
@@ -25,8 +25,8 @@
 	files *ca.Folder
 }
 
-// writeIdentities writes what a server and a client need into folders below dir. An intermediate authority issues both
-// certificates.
+// writeIdentities writes the certificates, keys and roots of a server and a client into folders below dir. An
+// intermediate authority issues both certificates.
 func writeIdentities(dir string, newKey newKeyFunc) (server, client *identity, err error) {
 	root := ca.New(ca.PanicOnFatal{}, "root")
 	issuer := root.NewIntermediate("between")
--- a/internal/measure/tlscost/client.go
+++ b/internal/measure/tlscost/client.go
@@ -25,10 +25,10 @@
 )
 
 const (
-	// warmupHandshakes are not counted. They bring the session that later ones resume.
+	// warmupHandshakes are not counted. They establish the session that later handshakes resume.
 	warmupHandshakes = 20
 
-	// ticketWait is how long a session ticket may take that follows a handshake over QUIC.
+	// ticketWait is how long to wait for the session ticket after a handshake over QUIC.
 	ticketWait = 20 * time.Millisecond
 
 	handshakeTimeout = 10 * time.Second
@@ -50,7 +50,7 @@
 // clientReport is what a client's process measured.
 type clientReport struct {
 	median, p99 time.Duration
-	cpu         time.Duration // of one handshake
+	cpu         time.Duration // of each handshake
 }
 
 func (r *clientReport) String() string {
@@ -60,7 +60,7 @@
 func parseClientReport(line string) (*clientReport, error) {
 	r := &clientReport{}
 	if _, err := fmt.Sscan(line, &r.median, &r.p99, &r.cpu); err != nil {
-		return nil, fmt.Errorf("%q: %w", line, err)
+		return nil, fmt.Errorf("invalid client report %q: %w", line, err)
 	}
 	return r, nil
 }
@@ -102,8 +102,8 @@
 	return report.String(), func() {}, nil
 }
 
-// measureHandshakes does count handshakes of a kind. forget drops the sessions with the server.
-func measureHandshakes(dialer handshaker, kind handshakeKind, count int, forget func()) (*clientReport, error) {
+// measureHandshakes does count handshakes of a kind. dropSessions removes the sessions with the server from the cache.
+func measureHandshakes(dialer handshaker, kind handshakeKind, count int, dropSessions func()) (*clientReport, error) {
 	before, err := process.CPUTime()
 	if err != nil {
 		return nil, err
@@ -111,16 +111,16 @@
 	latencies := make([]time.Duration, 0, count)
 	for n := range count {
 		if kind == fullHandshake {
-			forget()
+			dropSessions()
 		}
-		shake, err := dialer.handshake(false)
+		result, err := dialer.handshake(false)
 		if err != nil {
 			return nil, err
 		}
-		if shake.resumed != (kind == resumedHandshake) {
-			return nil, fmt.Errorf("handshake %d, %s: resumed %t", n, kind, shake.resumed)
+		if result.resumed != (kind == resumedHandshake) {
+			return nil, fmt.Errorf("handshake %d, which must be %s: resumed is %t", n, kind, result.resumed)
 		}
-		latencies = append(latencies, shake.took)
+		latencies = append(latencies, result.took)
 	}
 	after, err := process.CPUTime()
 	if err != nil {
@@ -157,7 +157,7 @@
 	})
 }
 
-// handshakeResult is one handshake.
+// handshakeResult is the result of one handshake.
 type handshakeResult struct {
 	took    time.Duration
 	resumed bool
@@ -199,7 +199,7 @@
 	return result, nil
 }
 
-// readResponse sends a request and reads until the server closes the connection. Tickets come before the response.
+// readResponse sends a request and reads until the server closes the connection. Tickets arrive before the response.
 func readResponse(conn net.Conn) error {
 	if _, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); err != nil {
 		return err
@@ -252,7 +252,7 @@
 	if awaitTicket {
 		time.Sleep(ticketWait)
 	}
-	_ = conn.CloseWithError(0, "") // it is not needed any more
+	_ = conn.CloseWithError(0, "") // the connection is not needed any more
 	result.resumed = state.DidResume
 	return result, nil
 }
--- a/internal/measure/tlscost/doc.go
+++ b/internal/measure/tlscost/doc.go
@@ -1,6 +1,6 @@
-// Package tlscost measures what TLS costs: a resumed session beside a full handshake, and pinedale-proxy with TLS
-// towards its servers beside [httputil.ReverseProxy] over [http.Transport]. Server, client and proxies are processes of
-// their own, whose CPU time is theirs alone.
+// Package tlscost measures the cost of TLS: of resumed handshakes compared with full ones, and of pinedale-proxy with
+// TLS towards its servers compared with [httputil.ReverseProxy] over [http.Transport]. Servers, clients and proxies run
+// in separate processes, so that the CPU time of each is measured on its own.
 //
 //	certificates.go  the files of a server and a client
 //	server.go        the server's process
@@ -20,7 +20,7 @@
 	reverseProxyKind = "tls-reverse"
 )
 
-// Kinds are what this package's measurements start as processes of their own.
+// Kinds are the processes that this package's measurements start.
 var Kinds = process.Kinds{
 	serverKind:       serveServer,
 	clientKind:       serveClient,
--- a/internal/measure/tlscost/handshakes.go
+++ b/internal/measure/tlscost/handshakes.go
@@ -14,7 +14,7 @@
 // byKind has a duration for each of handshakeKinds.
 type byKind [len(handshakeKinds)]time.Duration
 
-// HandshakeRow is one configuration: full handshakes, and such that resume a session.
+// HandshakeRow is the result of one configuration, for full and for resumed handshakes.
 type HandshakeRow struct {
 	Name           string
 	Median, P99    byKind
@@ -28,7 +28,7 @@
 type handshakeCase struct {
 	name           string
 	protocol       string
-	authentication string // mutual or nothing
+	authentication string // mutual, or empty if clients need no certificate
 	newKey         newKeyFunc
 }
 
@@ -40,7 +40,7 @@
 	{name: "HTTP/3, ECDSA P-256", protocol: protocolHTTP3},
 }
 
-// Handshakes measures full and resumed handshakes in turn, in so many rounds of count each. It writes its files below
+// Handshakes measures full and resumed handshakes in alternating rounds of count handshakes. It writes its files below
 // dir.
 func Handshakes(dir string, rounds, count int) (HandshakeRows, error) {
 	var rows HandshakeRows
@@ -55,12 +55,12 @@
 	return rows, nil
 }
 
-// handshakeSamples are the rounds of one kind.
+// handshakeSamples has the figures of one kind of handshake, by round.
 type handshakeSamples struct {
 	median, p99, client, server []time.Duration
 }
 
-// measure starts the server and measures one configuration. Of each figure the median of the rounds counts.
+// measure starts the server and measures one configuration. Each figure of the row is the median of the rounds.
 func (c *handshakeCase) measure(dir string, rounds, count int) (*HandshakeRow, error) {
 	server, client, err := writeIdentities(dir, c.newKey)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return row, nil
 }
 
-// add runs a client with its arguments and adds what it and the server used.
+// add runs a client with args, and adds its figures and the CPU time that the server used for each handshake.
 func (s *handshakeSamples) add(server *process.Process, args []string, count int) error {
 	before, err := server.Usage()
 	if err != nil {
--- a/internal/measure/tlscost/proxies.go
+++ b/internal/measure/tlscost/proxies.go
@@ -18,11 +18,11 @@
 // proxyKinds are the proxies that are compared, in the order of the columns.
 var proxyKinds = [...]string{proxyKind, reverseProxyKind}
 
-// ProxyRow is one kind of front: pinedale-proxy, and ReverseProxy beside it.
+// ProxyRow compares the proxies with one kind of front. Its arrays are in the order of proxyKinds.
 type ProxyRow struct {
 	Name   string
-	CPU    [len(proxyKinds)]time.Duration // of one request
-	Rate   [len(proxyKinds)]float64       // requests per second that the clients reached
+	CPU    [len(proxyKinds)]time.Duration // of each request
+	Rate   [len(proxyKinds)]float64       // requests per second that were served
 	Failed [len(proxyKinds)]int
 }
 
@@ -41,11 +41,11 @@
 	{name: "HTTP/3, TLS to the server", front: http3Front},
 }
 
-// requestTimeout is the time that a request states.
+// requestTimeout is the timeout that is stated in each request.
 const requestTimeout = 2 * time.Second
 
-// Proxies measures both proxies in turn, in so many rounds of span each, under closed-loop clients. It writes its files
-// below dir.
+// Proxies measures the proxies in alternating rounds of span each, under the load of closed-loop clients. It writes its
+// files below dir.
 func Proxies(dir string, rounds, clients int, span time.Duration) (ProxyRows, error) {
 	server, proxy, err := writeIdentities(dir, nil)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return rows, nil
 }
 
-// proxyMeasurement is that of one kind of front.
+// proxyMeasurement measures the proxies with one kind of front.
 type proxyMeasurement struct {
 	proxyCase
 	clients int
@@ -76,15 +76,15 @@
 	samples [len(proxyKinds)]proxySamples
 }
 
-// proxySamples are the rounds of one proxy.
+// proxySamples has the figures of one proxy, by round.
 type proxySamples struct {
-	cpu      []time.Duration // of one request
-	interval []time.Duration // between two requests of all clients, the mean
+	cpu      []time.Duration // of each request
+	interval []time.Duration // mean time between two requests of all clients
 	failed   int
 }
 
-// run starts both proxies and measures them in turn. The first round is a warm-up: a server without requests so far is
-// not trusted with many at once.
+// run starts both proxies and measures them in turn. The first round is a warm-up and does not count: pinedale-proxy
+// sends few requests at once to a server that has not served any yet.
 func (m *proxyMeasurement) run(rounds int, dir, server string) (row *ProxyRow, err error) {
 	var proxies [len(proxyKinds)]*process.Process
 	for i, kind := range proxyKinds {
@@ -114,7 +114,7 @@
 	return row, nil
 }
 
-// proxySample is one round of one proxy.
+// proxySample has the figures of one round of one proxy.
 type proxySample struct {
 	cpu, interval time.Duration
 	failed        int
@@ -126,7 +126,7 @@
 	s.failed += sample.failed
 }
 
-// measure puts the load on a proxy.
+// measure runs the load against a proxy and returns the figures of the round.
 func (m *proxyMeasurement) measure(proxy *process.Process) (*proxySample, error) {
 	before, err := proxy.Usage()
 	if err != nil {
@@ -141,7 +141,7 @@
 	}
 	served := time.Duration(load.served.Load())
 	if served == 0 {
-		return nil, fmt.Errorf("%s: nothing was served", m.name)
+		return nil, fmt.Errorf("%s: no request was served", m.name)
 	}
 	return &proxySample{
 		cpu:      (after.CPU - before.CPU) / served,
@@ -156,7 +156,7 @@
 	lastID         atomic.Int64
 }
 
-// runLoad runs closed-loop clients for a time.
+// runLoad runs closed-loop clients for the given time.
 func runLoad(address string, front frontKind, clients int, span time.Duration) *load {
 	scheme := "https"
 	if front == plainFront {
@@ -174,7 +174,7 @@
 	return l
 }
 
-// newTransport returns the transport of a client. It verifies nobody, since the proxies are measured.
+// newTransport returns the transport of a client. It verifies no certificate, since only the proxies are measured.
 func newTransport(front frontKind) (transport http.RoundTripper, closeTransport func()) {
 	config := &tls.Config{InsecureSkipVerify: true}
 	if front == http3Front {
@@ -185,7 +185,7 @@
 	return viaTCP, viaTCP.CloseIdleConnections
 }
 
-// send sends one request and counts its answer.
+// send sends one request and counts its response.
 func (l *load) send(client *http.Client, url string) {
 	request := &harness.Request{
 		URL:     url,
@@ -204,7 +204,7 @@
 // Print writes the rows as a table.
 func (rows ProxyRows) Print(w io.Writer) {
 	fmt.Fprintf(w, "%-26s %14s %14s %6s %12s %12s %8s\n",
-		"CPU of a request", "pinedale-proxy", "ReverseProxy", "ratio", "site req/s", "rev req/s", "failed")
+		"CPU of a request", "pinedale-proxy", "ReverseProxy", "ratio", "pinedale r/s", "reverse r/s", "failed")
 	for i := range rows {
 		row := &rows[i]
 		fmt.Fprintf(w, "%-26s %14v %14v %6.2f %12.0f %12.0f %5d/%d\n",
--- a/internal/measure/tlscost/proxyserver.go
+++ b/internal/measure/tlscost/proxyserver.go
@@ -18,7 +18,7 @@
 	"pinedale/internal/standin/ca"
 )
 
-// frontKind is what a proxy speaks towards its clients.
+// frontKind is the protocol between a proxy and its clients.
 type frontKind string
 
 const (
@@ -97,11 +97,11 @@
 		address = instance.HTTP3
 	}
 	return address.String(), func() {
-		_ = instance.Close() // the load is over
+		_ = instance.Close() // an error has no effect on the measurement, which has ended
 	}, nil
 }
 
-// serveReverseProxy runs an httputil.ReverseProxy over http.Transport, with the same arguments.
+// serveReverseProxy runs an httputil.ReverseProxy over http.Transport. It has the arguments of serveProxy.
 func serveReverseProxy(args []string) (line string, stop func(), err error) {
 	files, front := ca.FolderAt(ca.PanicOnFatal{}, args[0]), frontKind(args[2])
 	roots, err := readRoots(files)
@@ -141,7 +141,7 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = server.Serve(socket) // it ends with stop
+		_ = server.Serve(socket) // stop ends it
 	}()
 	return socket.LocalAddr().String(), func() {
 		server.Close()
@@ -169,7 +169,7 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = server.Serve(listener) // it ends with stop
+		_ = server.Serve(listener) // stop ends it
 	}()
 	return listener.Addr().String(), func() {
 		server.Close()
--- a/internal/measure/tlscost/server.go
+++ b/internal/measure/tlscost/server.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// mutual has the server require a certificate of its clients.
+	// mutual is the argument of a server that requires a certificate of its clients.
 	mutual = "mutual"
 
 	responseBytes = 512
 )
 
-// serveServer answers over HTTP/1.1 and HTTP/3. Its arguments are the folder with its files, and mutual or nothing.
+// serveServer runs a server for HTTP/1.1 and HTTP/3. Its arguments are the folder with its files, and mutual or an
+// empty string.
 func serveServer(args []string) (line string, stop func(), err error) {
 	files, authentication := ca.FolderAt(ca.PanicOnFatal{}, args[0]), args[1]
 	certificate, err := tls.LoadX509KeyPair(files.Cert, files.Key)
@@ -43,7 +44,8 @@
 
 var responseBody = []byte(strings.Repeat("x", responseBytes))
 
-// answer answers a request with a load report. A client that has gone is nothing to the server.
+// answer responds to a request with a load report. A write error is ignored, since it means that the client has
+// disconnected.
 func answer(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set("X-Backend-Load", "inflight=1")
--- a/internal/measure/tlscost/tlscost_test.go
+++ b/internal/measure/tlscost/tlscost_test.go
@@ -12,7 +12,7 @@
 	"pinedale/internal/measure/process"
 )
 
-// The tests' program starts itself once more as the server and the client.
+// TestMain runs a server, client or proxy if the test executable was started as one, and the tests otherwise.
 func TestMain(m *testing.M) {
 	started, err := process.Main(Kinds)
 	if !started {
@@ -24,7 +24,7 @@
 	}
 }
 
-// The client's process fails unless each handshake is of the kind that it is to be.
+// The client's process fails if a handshake is not of the kind that is measured.
 func TestHandshakesOverTCPAreFullOrResumedAsMeasured(t *testing.T) {
 	for i := range handshakeCases {
 		c := &handshakeCases[i]
@@ -43,7 +43,7 @@
 			}
 			var out bytes.Buffer
 			if (HandshakeRows{*row}).Print(&out); strings.Count(out.String(), "\n") != 2 {
-				t.Errorf("printed %q", out.String())
+				t.Errorf("Print wrote %q, want 2 lines", out.String())
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 	written := &clientReport{median: time.Millisecond, p99: 2 * time.Millisecond, cpu: 3 * time.Microsecond}
 	read, err := parseClientReport(strings.TrimSpace(written.String()))
 	if err != nil || *read != *written {
-		t.Errorf("%+v, %v, want %+v", read, err, written)
+		t.Errorf("got %+v, error %v, want %+v", read, err, written)
 	}
 	if _, err := parseClientReport("1 2"); err == nil {
 		t.Error("a report without CPU time is accepted")
