--- a/cmd/pinedale-bench/extproc.go
+++ b/cmd/pinedale-bench/extproc.go
@@ -12,7 +12,7 @@
 
 func newVerdictsCommand() *cobra.Command {
 	var o extproc.Options
-	command := newCommand("verdicts", "seeded callers with faults against a complete external processor",
+	command := newCommand("verdicts", "run callers with faults against an external processor, and check its decisions",
 		func(*cobra.Command) (result, error) { return extproc.Run(o) })
 	flags := command.Flags()
 	flags.IntVar(&o.Calls, "calls", 100_000, "number of client requests")
@@ -27,7 +27,7 @@
 func newFrontsCommand() *cobra.Command {
 	var o extproc.Options
 	var sameOnAllServers bool
-	command := newCommand("fronts", "one load through the HTTP front and through the processor",
+	command := newCommand("fronts", "compare the HTTP front with the external processor under the same load",
 		func(*cobra.Command) (result, error) { return extproc.Fronts(o, sameOnAllServers) })
 	flags := command.Flags()
 	flags.IntVar(&o.Calls, "calls", 5000, "number of client requests")
@@ -40,7 +40,7 @@
 
 func newNoopCommand() *cobra.Command {
 	var o extproc.CostOptions
-	command := newCommand("noop", "what a decision costs beside a processor that decides nothing",
+	command := newCommand("noop", "compare the cost of a decision with a processor that decides nothing",
 		func(*cobra.Command) (result, error) { return extproc.Cost(o) })
 	flags := command.Flags()
 	addServersFlag(flags, &o.Servers, fleetSize, "number of servers in the fleet")
--- a/cmd/pinedale-bench/load.go
+++ b/cmd/pinedale-bench/load.go
@@ -28,7 +28,7 @@
 	var o serversOptions
 	command := &cobra.Command{
 		Use:   "servers",
-		Short: "stand-in servers to try pinedale-proxy with, until interrupted",
+		Short: "run stand-in servers to try pinedale-proxy with, until interrupted",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -63,7 +63,7 @@
 
 func newTenantsCommand() *cobra.Command {
 	var o tenants.Options
-	command := newCommand("tenants", "what a tenant at ten times its quota costs the others",
+	command := newCommand("tenants", "measure how a tenant at ten times its quota affects the others",
 		func(*cobra.Command) (result, error) { return tenants.Run(o) })
 	flags := command.Flags()
 	flags.DurationVar(&o.For, "for", 10*time.Second, "duration of each of the four runs")
@@ -74,23 +74,23 @@
 
 func newNewcomerCommand() *cobra.Command {
 	var o coldstart.Options
-	command := newCommand("newcomer", "what thousands of quiet instances do together to servers that have just started",
+	command := newCommand("newcomer", "measure the load that thousands of instances put on servers that have just started",
 		func(*cobra.Command) (result, error) { return coldstart.Run(o) })
 	flags := command.Flags()
 	flags.IntVar(&o.Instances, "instances", 5000, "number of instances of pinedale")
 	addServersFlag(flags, &o.Servers, 100, "number of servers in the fleet")
-	flags.IntVar(&o.Fresh, "fresh", 5, "number of servers of the fleet that start in the middle")
+	flags.IntVar(&o.Fresh, "fresh", 5, "number of servers of the fleet that start in the middle of a simulation")
 	flags.Float64Var(&o.Rate, "rate", 1500, "requests per second of all instances")
 	flags.IntVar(&o.SubsetSize, "floor", 8, "smallest number of servers that an instance uses")
-	flags.IntVar(&o.Seeds, "seeds", 50, "number of seeds to play")
+	flags.IntVar(&o.Seeds, "seeds", 50, "number of seeds to simulate")
 	flags.BoolVar(&o.WithoutSubsets, "whole", false, "measure without subsets, too")
 	return command
 }
 
 func newDeparturesCommand() *cobra.Command {
 	var count int
-	command := newCommand("departures", "what is sent for clients that have disconnected while their requests waited",
+	command := newCommand("departures", "count requests that are sent although their clients have disconnected",
 		func(*cobra.Command) (result, error) { return departures.RunAll(count) })
-	command.Flags().IntVar(&count, "departures", 1000, "number of departures in each case")
+	command.Flags().IntVar(&count, "departures", 1000, "number of clients that disconnect in each case")
 	return command
 }
--- a/cmd/pinedale-bench/main.go
+++ b/cmd/pinedale-bench/main.go
@@ -1,8 +1,8 @@
-// Command pinedale-bench runs the measurements that are too long for the tests. All of them stay on loopback and end by
-// themselves.
+// Command pinedale-bench runs the measurements that are too long for the tests. All of them use only the loopback
+// interface, and end by themselves.
 //
 //	main.go        starts the command that the arguments select, or a process that is measured
-//	root.go        the commands, and what they share
+//	root.go        the commands, and the code that they share
 //	extproc.go     verdicts, fronts, noop
 //	membership.go  removal, nodes
 //	security.go    rotations, handshakes, tls, reconnect
@@ -34,7 +34,7 @@
 	os.Exit(cli.Execute(context.Background(), newRoot(os.Stdout), os.Args[1:], os.Stderr))
 }
 
-// processKinds returns what this program starts itself once more for.
+// processKinds returns the kinds of processes that the measurements start from this program's executable.
 func processKinds() process.Kinds {
 	kinds := process.Kinds{}
 	maps.Copy(kinds, extproc.Kinds)
--- a/cmd/pinedale-bench/main_test.go
+++ b/cmd/pinedale-bench/main_test.go
@@ -121,7 +121,7 @@
 		t.Run(c.line, func(t *testing.T) {
 			command := parse(t, c.line)
 			if name, _, _ := strings.Cut(c.line, " "); command.Name() != name {
-				t.Errorf("selects the command %s", command.Name())
+				t.Errorf("selected the command %s, want %s", command.Name(), name)
 			}
 			for name, want := range c.flags {
 				if flag := command.Flags().Lookup(name); flag == nil || flag.Value.String() != want {
@@ -138,7 +138,7 @@
 			var out, stderr bytes.Buffer
 			code := cli.Execute(context.Background(), newRoot(&out), []string{command.Name(), "-help"}, &stderr)
 			if code != 0 || !strings.Contains(out.String(), command.Short) || stderr.Len() > 0 {
-				t.Errorf("exit code %d, printed %q and %q", code, out.String(), stderr.String())
+				t.Errorf("exit code %d, stdout %q, stderr %q", code, out.String(), stderr.String())
 			}
 		})
 	}
@@ -149,7 +149,7 @@
 		var out, stderr bytes.Buffer
 		code := cli.Execute(context.Background(), newRoot(&out), strings.Fields(line), &stderr)
 		if code != 1 || !strings.HasPrefix(stderr.String(), programName+": ") {
-			t.Errorf("%q: exit code %d, printed %q", line, code, stderr.String())
+			t.Errorf("%q: exit code %d, stderr %q", line, code, stderr.String())
 		}
 	}
 }
--- a/cmd/pinedale-bench/root.go
+++ b/cmd/pinedale-bench/root.go
@@ -17,7 +17,7 @@
 func newRoot(out io.Writer) *cobra.Command {
 	root := cli.NewRoot(programName, "measurements that are too long for the tests", out)
 	root.Long = "Runs the measurements that are too long for the tests. " +
-		"All of them stay on loopback and end by themselves."
+		"All of them use only the loopback interface, and end by themselves."
 	root.AddCommand(
 		newVerdictsCommand(),
 		newFrontsCommand(),
@@ -38,18 +38,18 @@
 	return root
 }
 
-// result is the result of a measurement. One that must keep rules has a method Violation, too.
+// result is the result of a measurement. If the measurement checks rules, its result is a checkedResult, too.
 type result interface {
 	Print(w io.Writer)
 }
 
-// checkedResult is a result that may have broken a rule.
+// checkedResult is a result that may violate a rule.
 type checkedResult interface {
 	result
-	Violation() string // which rule is broken, "" for none
+	Violation() string // describes the violated rule, "" for none
 }
 
-// newCommand returns a command that makes a measurement and prints its result. A broken rule is an error.
+// newCommand returns a command that runs a measurement and prints its result. A violated rule is an error.
 func newCommand(name, short string, measure func(cmd *cobra.Command) (result, error)) *cobra.Command {
 	return &cobra.Command{
 		Use:   name,
@@ -62,7 +62,7 @@
 			measured.Print(cmd.OutOrStdout())
 			if checked, ok := measured.(checkedResult); ok {
 				if reason := checked.Violation(); reason != "" {
-					return errors.New("broken: " + reason)
+					return errors.New("rule violated: " + reason)
 				}
 			}
 			return nil
@@ -70,7 +70,7 @@
 	}
 }
 
-// withTempDir makes a measurement with a directory that is removed afterwards.
+// withTempDir runs a measurement with a directory that is removed afterwards.
 func withTempDir(measure func(dir string) (result, error)) (result, error) {
 	dir, err := os.MkdirTemp("", programName)
 	if err != nil {
@@ -85,7 +85,7 @@
 	flags.IntVar(servers, "servers", value, usage)
 }
 
-// addSeedFlag adds the flag for the seed of what is random.
+// addSeedFlag adds the flag for a random seed.
 func addSeedFlag(flags *pflag.FlagSet, seed *uint64, usage string) {
 	flags.Uint64Var(seed, "seed", 1, usage)
 }
--- a/cmd/pinedale-bench/security.go
+++ b/cmd/pinedale-bench/security.go
@@ -12,7 +12,7 @@
 
 func newRotationsCommand() *cobra.Command {
 	var o rotations.Options
-	command := newCommand("rotations", "whether requests fail while keys change on either side, over and over",
+	command := newCommand("rotations", "check whether requests fail while keys are replaced repeatedly on either side",
 		func(*cobra.Command) (result, error) {
 			return withTempDir(func(dir string) (result, error) {
 				o.Dir = dir
@@ -30,7 +30,7 @@
 
 func newHandshakesCommand() *cobra.Command {
 	var rounds, count int
-	command := newCommand("handshakes", "a resumed session beside a full handshake",
+	command := newCommand("handshakes", "compare resumed with full TLS handshakes",
 		func(*cobra.Command) (result, error) {
 			return withTempDir(func(dir string) (result, error) { return tlscost.Handshakes(dir, rounds, count) })
 		})
@@ -43,7 +43,7 @@
 func newTLSCommand() *cobra.Command {
 	var rounds, clients int
 	var span time.Duration
-	command := newCommand("tls", "pinedale-proxy with TLS towards its servers beside a reverse proxy",
+	command := newCommand("tls", "compare pinedale-proxy with a reverse proxy, both with TLS towards their servers",
 		func(*cobra.Command) (result, error) {
 			return withTempDir(func(dir string) (result, error) { return tlscost.Proxies(dir, rounds, clients, span) })
 		})
@@ -56,11 +56,11 @@
 
 func newReconnectCommand() *cobra.Command {
 	var o reconnect.Options
-	command := newCommand("reconnect", "a fleet connected to again as a whole, with a budget of handshakes and without",
+	command := newCommand("reconnect", "measure reconnecting to a complete fleet, with a handshake budget and without",
 		func(*cobra.Command) (result, error) { return reconnect.RunAll(o) })
 	flags := command.Flags()
 	flags.IntVar(&o.Instances, "instances", 5, "number of instances that reconnect at once")
-	flags.Float64Var(&o.Limit, "limit", 200, "handshakes per second that a server may have with all of them")
+	flags.Float64Var(&o.Limit, "limit", 200, "handshakes per second that a server may have with all instances")
 	flags.Float64Var(&o.All, "all", 500, "handshakes per second that one instance may have with all servers")
 	flags.DurationVar(&o.Timeout, "most", 30*time.Second, "timeout of each reconnection")
 	return command
--- a/cmd/pinedale-bench/state.go
+++ b/cmd/pinedale-bench/state.go
@@ -12,13 +12,13 @@
 	"pinedale/internal/measure/properties"
 )
 
-// largeFleet is the size of a fleet whose simulation takes some minutes.
+// largeFleet is the number of instances in a fleet whose simulation takes some minutes.
 const largeFleet = 3000
 
 func newGossipCommand() *cobra.Command {
 	o := gossip.Options{Sizes: []int{3, 30, 300}}
 	var large bool
-	command := newCommand("gossip", "what replicated state costs, by the size of the fleet",
+	command := newCommand("gossip", "measure the cost of replicated state by the size of the fleet",
 		func(*cobra.Command) (result, error) {
 			if large {
 				o.Sizes = append(o.Sizes, largeFleet)
@@ -36,7 +36,7 @@
 
 func newPropertiesCommand() *cobra.Command {
 	var o properties.Options
-	command := newCommand("properties", "the property tests over fresh seeds, for a given time; run from the root",
+	command := newCommand("properties", "run the property tests with fresh seeds for a given time, from the module's root",
 		func(cmd *cobra.Command) (result, error) {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -47,7 +47,7 @@
 	flags.IntVar(&o.MaxSeeds, "seeds", 0, "end after this number of seeds, 0 for no limit")
 	flags.BoolVar(&o.Race, "race", false, "use the race detector")
 	flags.IntVar(&o.Checks, "checks", 1000, "number of checks of each property with each seed")
-	flags.IntVar(&o.Workers, "workers", runtime.NumCPU(), "number of seeds at once")
+	flags.IntVar(&o.Workers, "workers", runtime.NumCPU(), "number of seeds that are checked concurrently")
 	flags.Uint64Var(&o.Seed, "seed", uint64(time.Now().UnixNano()), "seed from which the others are drawn")
 	return command
 }
--- a/internal/measure/properties/check.go
+++ b/internal/measure/properties/check.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// outputWait is how long the output of a test that has ended is read: processes that it started may hold it open.
+// outputWait is how long to read the output of a test that has ended: processes that it started may keep the output
+// open.
 const outputWait = time.Second
 
 // The lines that rapid prints for a property that held and for one that did not.
@@ -30,7 +31,7 @@
 	command := exec.CommandContext(ctx, "go", append(args, p.Path)...)
 	command.Dir = root
 	if output, err := command.CombinedOutput(); err != nil {
-		return fmt.Errorf("%s: %w: %s", p.Path, err, output)
+		return fmt.Errorf("build the tests of %s: %w: %s", p.Path, err, output)
 	}
 	return nil
 }
@@ -47,7 +48,7 @@
 	command.WaitDelay = outputWait
 	output, err := command.CombinedOutput()
 	for _, match := range passedLine.FindAllSubmatch(output, -1) {
-		passed, _ := strconv.Atoi(string(match[1])) // the pattern has digits
+		passed, _ := strconv.Atoi(string(match[1])) // the pattern matches digits only
 		checks += passed
 	}
 	if err == nil || ctx.Err() != nil {
@@ -58,7 +59,7 @@
 
 // failures returns what failed according to the output of the tests, which ended with an error.
 func (p *Package) failures(output []byte, err error, o *Options, seed uint64) (failures []Failure) {
-	reason := "it ended with " + err.Error()
+	reason := "the test program ended with " + err.Error()
 	if match := failedLine.FindSubmatch(output); match != nil {
 		reason = string(match[1])
 	}
@@ -75,7 +76,7 @@
 	return failures
 }
 
-// repeatCommand returns the command that checks the tests of a pattern again.
+// repeatCommand returns the command that repeats the check of the tests that match a pattern.
 func (p *Package) repeatCommand(pattern string, o *Options, seed uint64) string {
 	race := ""
 	if o.Race {
--- a/internal/measure/properties/properties.go
+++ b/internal/measure/properties/properties.go
@@ -1,4 +1,4 @@
-// Package properties checks the property tests over fresh seeds, for far longer than the tests do.
+// Package properties runs the property tests with fresh seeds, for far longer than go test does.
 //
 //	properties.go  Options, Run and its report
 //	find.go        finds the property tests of a module
@@ -28,7 +28,7 @@
 	Seed     uint64 // from which the seeds are drawn
 }
 
-// Package is a package with property tests, and what was checked of it.
+// Package is a package with property tests, and the results of their checks.
 type Package struct {
 	Path     string // as an argument of go test
 	Tests    []string
@@ -36,14 +36,14 @@
 	Checks   int
 	Failures []Failure
 
-	binary string // of its tests
+	binary string // file with the compiled tests
 }
 
 // Failure is a seed with which a property does not hold.
 type Failure struct {
 	Test    string
 	Output  string
-	Command string // that checks the same again
+	Command string // that repeats the check
 }
 
 // Report is the result of a run.
@@ -52,7 +52,7 @@
 	Took     time.Duration
 }
 
-// Violation returns how many checks failed in words, "" for none.
+// Violation returns the number of failures in words, "" for none.
 func (r *Report) Violation() string {
 	failures := 0
 	for _, pkg := range r.Packages {
@@ -61,10 +61,10 @@
 	if failures == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%d plays broke a property", failures)
+	return fmt.Sprintf("%d property checks failed", failures)
 }
 
-// Print writes a line for each package, and the commands that show the failures again.
+// Print writes a line for each package, and the commands that reproduce the failures.
 func (r *Report) Print(w io.Writer) {
 	seeds, checks := 0, 0
 	for _, pkg := range r.Packages {
@@ -80,10 +80,10 @@
 }
 
 // Run checks the properties of the module at root until the time is over or ctx ends: the packages in turn, each time
-// with a seed of its own. It runs the go command.
+// with a new seed. It runs the go command.
 func Run(ctx context.Context, root string, o Options) (*Report, error) {
 	if o.For <= 0 || o.Checks < 1 || o.Workers < 1 {
-		return nil, errors.New("the time, the checks and the workers must be above 0")
+		return nil, errors.New("the time, the number of checks and the number of workers must be above 0")
 	}
 	packages, err := Find(root)
 	if err != nil {
@@ -137,7 +137,7 @@
 		}
 		checks, failures := pkg.check(ctx, s.root, s.options, seed)
 		if ctx.Err() != nil && len(failures) == 0 {
-			return // the check was cut off
+			return // ctx has interrupted the check
 		}
 		s.add(pkg, checks, failures)
 	}
@@ -155,7 +155,7 @@
 	return pkg, max(1, s.random.Uint64()), true // with the seed 0, rapid would draw one
 }
 
-// add adds the result of a check.
+// add adds the result of a check to its package.
 func (s *schedule) add(pkg *Package, checks int, failures []Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/measure/properties/properties_test.go
+++ b/internal/measure/properties/properties_test.go
@@ -16,7 +16,7 @@
 func TestPackagesWithPropertiesUseFixedSeed(t *testing.T) {
 	packages, err := Find(root)
 	if err != nil || len(packages) < 12 {
-		t.Fatalf("%d packages with properties, %v", len(packages), err)
+		t.Fatalf("found %d packages with property tests, want at least 12; error %v", len(packages), err)
 	}
 	for _, pkg := range packages {
 		if !importsSeeds(t, filepath.Join(root, pkg.Path)) {
@@ -79,7 +79,7 @@
 }
 `
 
-// newModule writes a module with one property of a number n. It has the files of this module that it needs.
+// newModule writes a module with one property of a number n, and the files of this module that the property test needs.
 func newModule(t *testing.T, property string) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -91,7 +91,7 @@
 	return dir
 }
 
-// neverHolds is a property that no number but the largest has.
+// neverHolds is a property that holds for the largest number only.
 const neverHolds = "n == math.MaxUint64"
 
 func TestFailureHasCommandThatFailsAlike(t *testing.T) {
@@ -107,11 +107,11 @@
 		t.Fatal(err)
 	}
 	if report.Violation() == "" || len(report.Packages) != 1 {
-		t.Fatalf("%+v", report)
+		t.Fatalf("got report %+v, want one package with a failure", report)
 	}
 	failure := report.Packages[0].Failures[0]
 	if failure.Test != "TestOne" || !strings.HasPrefix(failure.Output, "drew ") {
-		t.Errorf("%+v", failure)
+		t.Errorf("unexpected failure %+v", failure)
 	}
 	repeated := exec.Command("sh", "-c", failure.Command)
 	repeated.Dir = dir
