--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"syscall"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"pinedale/internal/standin/logcapture"
@@ -26,6 +27,10 @@
 // logged once. A later signal restarts the retries of an earlier one. After reloadRetryTime without a usable
 // file, the reload is abandoned.
 func TestReloadRetriesUntilFileIsComplete(t *testing.T) {
+	synctest.Test(t, checkReloadRetries)
+}
+
+func checkReloadRetries(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		t.Helper()
@@ -68,6 +73,7 @@
 		<-waits
 		proceed <- time.Time{}
 	}
+	synctest.Wait() // until the last read of the incomplete file has failed
 	write(configText(t, "127.0.0.1:9"))
 	signals <- syscall.SIGHUP
 	if next := <-out; next.Discovery != "127.0.0.1:9" {
