--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -30,7 +30,7 @@
 
 // Each attempt gets the timeout that the request sets. After a timeout a retry follows while the rules permit one.
 func TestAttemptTimeoutIsPassedOn(t *testing.T) {
-	for class, want := range []int{3, 3, 2, 2, 1} { // each zone and cell has two endpoints
+	for class, want := range []int{3, 3, 2, 2, 1} { // attempts by class; each zone and cell has two endpoints
 		b, out := startWithTimeouts(t, testSettings(), ready(8))
 		in := testRequest(1, uint8(class), 0)
 		in.AttemptTimeout = 100_000
@@ -138,8 +138,8 @@
 	}
 }
 
-// A client's retry may repeat an effect whose idempotency key is about to expire. It must neither be resent later nor
-// rejected with the guarantee that another retry is harmless.
+// A client's retry may repeat a request that has run and whose idempotency key is about to expire. It must not be
+// resent later, and must not be rejected in a way that guarantees that another retry is harmless.
 func TestClientRetryIsNotResentAfterWindow(t *testing.T) {
 	for _, test := range []struct {
 		class    uint8
@@ -165,8 +165,8 @@
 	}
 }
 
-// The transport may carry out an attempt at another endpoint than the one it was sent to. Failures, and the group in
-// which a repeat is dropped, follow the endpoint that handled the request.
+// The transport may use another endpoint than the balancer chose. Failures are then counted at the endpoint that
+// handled the request, and a retry stays within the group of that endpoint, which drops duplicates.
 func TestOutcomeIsAttributedToActualEndpoint(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4)) // 1 and 2 share a cell, as do 3 and 4
 	b.HandleRequest(0, testRequest(1, 3, 0))
@@ -220,8 +220,8 @@
 	}
 }
 
-// An attempt made before the request was received has the same effect as a first attempt of its own: on the group and
-// the window for retries, and on whether the request may be rejected.
+// A previous attempt restricts the request as the balancer's own first attempt would: it determines the group and the
+// window for retries, and whether the request may be rejected.
 func TestPreviousAttemptBindsRequest(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -2,8 +2,8 @@
 
 const (
 	randomDraws = 8 // random draws before the endpoints are searched in order
-	// maxCandidates bounds the number of endpoints that one decision examines, both of those with a fresh
-	// report and of each part of a group in a search. Fleets of at most this size are searched completely.
+	// maxCandidates bounds the number of endpoints that one decision examines: of those with a fresh report,
+	// and in a search, of each part of a group. Fleets of at most this size are searched completely.
 	maxCandidates = 200
 )
 
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -14,7 +14,7 @@
 // Rules, enforced in balancer.go regardless of all statistics:
 //
 //   - No request takes effect twice: an attempt that may have run is repeated only as the Idempotency of its class
-//     permits, within the group and the window in which repeats are dropped.
+//     permits, within the group of endpoints and the time window in which duplicates are dropped.
 //   - No request is lost: each has exactly one final answer, at its deadline at the latest.
 //   - Nothing is sent to a draining or removed endpoint.
 //   - An endpoint in slow start is sent no more than its part of the fleet's traffic.
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -10,8 +10,8 @@
 	minFailureRatio        = 0.01 // lower ratios count as 0
 )
 
-// recordFailure counts a failed attempt against its endpoint, unless the attempt was no longer waited for or
-// timed out early because the client left it little time.
+// recordFailure counts a failed attempt against its endpoint, unless the attempt was overdue, or timed out
+// early because the client left it little time.
 func (b *Balancer) recordFailure(now Micros, a *attempt, status Status, latency Micros) {
 	timedOutEarly := status == Timeout && float64(latency) < overdueMultiple*a.expectedLatency
 	if a.overdue || timedOutEarly {
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -201,10 +201,11 @@
 	}
 }
 
-// slowStartQueue is a heap of the ends of slow starts, earliest first.
+// slowStartQueue is a heap of slow starts, ordered by their end.
 type slowStartQueue []slowStartEntry
 
-// slowStartEntry is the end of a slow start that began at since.
+// slowStartEntry records when a slow start of an endpoint ends. An entry whose since is not the endpoint's current one
+// belongs to an earlier incarnation.
 type slowStartEntry struct {
 	endpoint *endpoint
 	since    Micros
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -14,7 +14,7 @@
 	weight          int64
 }
 
-// readyKey is the key of endpointSet.ready in a recount.
+// readyKey is the key under which a recount holds the endpoints of endpointSet.ready. No group has this kind.
 var readyKey = groupKey{kind: 255}
 
 func (c recount) add(key groupKey, e *endpoint, slowStart bool) {
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// classStats holds the statistics of a class.
+// classStats holds what the balancer has learned about the requests of one class.
 type classStats struct {
 	work         ewma   // mean work of a request, in µs
 	arrivals     meter  // requests received
@@ -33,7 +33,7 @@
 // latencyTrend tracks the ratio of observed to predicted latencies over all endpoints.
 type latencyTrend struct{ ratio float64 }
 
-// initialize sets averages and balances to their initial values.
+// initialize sets the statistics and budgets whose initial value is not the zero value.
 func (b *Balancer) initialize() {
 	// These ratios start at 0 instead of at their first sample.
 	b.reports.lateRatio.seen = true
@@ -121,5 +121,5 @@
 	t.ratio = min(maxTrend, max(1/maxTrend, t.ratio*factor))
 }
 
-// slowdown returns the trend beyond the range of random variation, at least 1.
+// slowdown returns the factor by which the fleet is slower than predicted, beyond random variation. It is at least 1.
 func (t *latencyTrend) slowdown() float64 { return max(1, t.ratio/trendNoiseRatio) }
--- a/balancer/keys_test.go
+++ b/balancer/keys_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// A restarted process has no key cached.
+// A restarted endpoint has lost its cache, so requests sent to it before the restart do not count for key affinity.
 func TestRestartClearsKeyAffinity(t *testing.T) {
 	list := inOneZone(1, 1)
 	b, r := start(t, keySettings(), list)
@@ -106,13 +106,13 @@
 	}
 	for stableID, n := range keys {
 		if n < 400 || n > 600 { // 500 on average; the hash has no seed, so the result is deterministic
-			t.Errorf("endpoint %d owns %d of 5000 keys", stableID, n)
+			t.Errorf("endpoint %d owns %d of 5000 keys, want 400 to 600", stableID, n)
 		}
 	}
 	first.UpdateEndpoints(second, ListDelta, without[3:4])
 	for key, previous := range owners {
 		if current := first.keyOwners(key)[1].StableID; current != previous && previous != without[3].StableID {
-			t.Errorf("key %d moved from %d to %d", key, previous, current)
+			t.Errorf("key %d moved from endpoint %d, which is still listed, to %d", key, previous, current)
 		} else if current == without[3].StableID {
 			t.Errorf("key %d is still owned by the removed endpoint", key)
 		}
@@ -194,7 +194,7 @@
 	keyed, r := start(t, keySettings(), inOneZone(4, 1))
 	keyed.HandleRequest(second, testRequest(1, 0, second))
 	if len(b.keys.current) != 0 || len(keyed.keys.current) != 0 || len(r.sends) != 1 {
-		t.Errorf("%d and %d key records, %d sends, want 0, 0 and 1",
+		t.Errorf("%d key records without key affinity, %d without a key, %d sends, want 0, 0 and 1",
 			len(b.keys.current), len(keyed.keys.current), len(r.sends))
 	}
 }
--- a/balancer/learning_test.go
+++ b/balancer/learning_test.go
@@ -61,13 +61,13 @@
 			}
 		}
 		if b.estimates.hintExponent < test.from || b.estimates.hintExponent > test.to {
-			t.Errorf("%s: exponent %.2f, want %.2f to %.2f", test.name, b.estimates.hintExponent, test.from, test.to)
+			t.Errorf("%s: hint exponent %.2f, want %.2f to %.2f", test.name, b.estimates.hintExponent, test.from, test.to)
 		}
 	}
 }
 
-// A balancer of a large fleet uses each endpoint only once in many seconds. Within a second of its start, the outcomes
-// at some machines must show how fast the others of their kind are.
+// In a large fleet a balancer sends to each endpoint only once in many seconds. Within a second of its start, outcomes
+// from a few endpoints must determine the estimated slowness of all other endpoints of their kind.
 func TestSlownessOfUnusedEndpointsFollowsKind(t *testing.T) {
 	s := testSettings()
 	s.Balancers, s.Kinds, s.Limits.Probes = 300, 3, false
@@ -171,11 +171,11 @@
 	}
 	calm, busy := simulateResponses(true, 15, 1, 0), simulateResponses(true, 15, 3, 0)
 	if busy < calm+0.75 {
-		t.Errorf("baseline load %.2f, %.2f after answers take three times as long, want a rise of at least 0.75",
+		t.Errorf("baseline load %.2f, and %.2f once answers take three times as long, want a rise of at least 0.75",
 			calm, busy)
 	}
 	if long := simulateResponses(true, 5000, 1, 0.9); long > maxBaselineSample/2 {
-		t.Errorf("baseline load %.2f from random variation alone", long)
+		t.Errorf("baseline load %.2f from random variation alone, want at most half of maxBaselineSample", long)
 	}
 	if none := simulateResponses(false, 15, 3, 0); none != 0 {
 		t.Errorf("baseline load %.2f without probes, want 0", none)
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Expire gives a request its final answer now, before its deadline, as when the host shuts down.
+// Expire gives a request its final answer now, before its deadline, for example because the host shuts down.
 func (b *Balancer) Expire(now Micros, id uint64) {
 	if r := b.ledger.requests[id]; r != nil {
 		r.reason = reasonEndedByHost
@@ -128,7 +128,7 @@
 	affinity        affinity
 	overdueAt       Micros // when to check whether the attempt was dropped
 	probedOverdue   bool   // the endpoint was probed because the attempt is overdue
-	overdue         bool   // no longer waited for, though its outcome may still be reported
+	overdue         bool   // the balancer no longer waits for it, though its outcome may still be reported
 	plannedHedge    bool   // overdue because the hedge delay has passed, not because it was dropped
 	pending         bool   // no outcome yet
 	transportFailed bool   // failed on the network path, which says little about the endpoint
@@ -168,7 +168,7 @@
 }
 
 // writeDeadline returns the instant by which an attempt must be written. Opening a connection may take long, and
-// endpoints that drop repeats count the window from the first attempt that may have run.
+// endpoints that deduplicate start the window at the first attempt that may have run.
 func (r *request) writeDeadline(c *Class) Micros {
 	if first := r.firstMayHaveRun(); first != nil && c.Idempotency == IdempotentWithKey {
 		return min(r.Deadline, first.sentAt+c.DedupWindow)
@@ -176,8 +176,8 @@
 	return r.Deadline
 }
 
-// hasPendingAttempt reports whether an attempt is still waited for: any pending one, or, if hedging is permitted,
-// one that is not overdue.
+// hasPendingAttempt reports whether the balancer still waits for an attempt: any pending one, or, if hedging is
+// permitted, one that is not overdue.
 func (r *request) hasPendingAttempt(hedging bool) bool {
 	hedging = hedging && !r.NoHedging
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.pending && (!hedging || !a.overdue) })
@@ -218,8 +218,8 @@
 // answered reports whether the endpoint itself responded.
 func (s Status) answered() bool { return s == OK || s == Error || s == Full }
 
-// attributeAttempt moves an attempt to the endpoint that handled it, if the transport did not use the endpoint that
-// it was sent to: statistics, and the group in which repeats are dropped, follow the endpoint that handled it.
+// attributeAttempt moves an attempt to the endpoint that handled it, if the transport used another endpoint than the
+// balancer chose. Statistics are then updated for that endpoint, and retries stay within its group.
 func (b *Balancer) attributeAttempt(a *attempt, actual uint32) {
 	e := b.endpoints.byID[actual]
 	if e == nil || e == a.endpoint {
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -117,7 +117,7 @@
 		b, _ := start(t, testSettings(), list)
 		for range 50 {
 			if e := b.drawRandom(1000, &request{Request: testRequest(1, 0, 1000)}, nil, 0); (e == nil) != (n == 0) {
-				t.Fatalf("%d endpoints: drawRandom returned %v", n, e)
+				t.Fatalf("%d endpoints: drawRandom returned %v, want nil only without endpoints", n, e)
 			}
 		}
 	}
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -35,7 +35,7 @@
 	return (baseline + (e.slowness.value-baseline)*trust) / e.capacityRatio(now, b)
 }
 
-// predictLatency returns the latency in µs expected for a request of this work if sent to e now.
+// predictLatency returns the expected latency in µs of a request with this work if it is sent to e now.
 func (b *Balancer) predictLatency(now Micros, e *endpoint, work float64) float64 {
 	service := work * b.trend.slowdown() * e.currentSlowness(now, b) * b.loadFactor(e)
 	return b.estimates.roundTrip[e.Zone].value + service
--- a/balancer/probes_test.go
+++ b/balancer/probes_test.go
@@ -20,7 +20,7 @@
 		seen[r.sends[len(r.sends)-1].endpoint] = true
 	}
 	if len(seen) != 2 {
-		t.Errorf("a stale report still decides: requests went to %d endpoints, want 2 from random draws", len(seen))
+		t.Errorf("requests after a stale report went to %d endpoints, want 2, drawn at random", len(seen))
 	}
 }
 
@@ -36,7 +36,7 @@
 	b.ProbeCompleted(1000, 99, OK, 500, []float32{1}) // unknown endpoint
 	b.ProbeCompleted(1000, 1, OK, 500, []float32{2, 7, 9})
 	if b.load(b.endpoints.list[0]) != 2 {
-		t.Errorf("load %v, want 2", b.load(b.endpoints.list[0]))
+		t.Errorf("load %v, want the reported 2", b.load(b.endpoints.list[0]))
 	}
 }
 
@@ -156,7 +156,8 @@
 	}
 }
 
-// If reports are old or do not count requests, a probe that was queued still shows that there is a queue.
+// Reports may be late, or may not count the requests in flight. A probe that was slow because it was queued still
+// indicates load.
 func TestQueuedProbeIndicatesLoad(t *testing.T) {
 	s := testSettings()
 	s.Fields = []Field{FieldServed, FieldUtilization}
--- a/balancer/rejection.go
+++ b/balancer/rejection.go
@@ -16,10 +16,11 @@
 )
 
 // exceedsLimit reports whether the answer to r from e would be too late to be worth the work. It returns
-// false if nothing queues and the fleet is healthy, since a few samples of a long-tailed latency can make a
-// healthy endpoint look too slow. As with the breaker, a trial is sent occasionally, so that a wrong
-// prediction does not persist. It is one in many requests, since a trial per second from each of a thousand
-// balancers would overload the fleet again.
+// false if no requests are queued at e and the fleet is not slower than usual, since a few samples of a
+// long-tailed latency can make a healthy endpoint look too slow. As in the breaker, an occasional request is
+// sent as a trial in spite of the limit, so that a wrong prediction does not persist. Trials are one in many
+// requests and not one per second, since a trial per second from each of a thousand balancers would overload
+// the fleet again.
 func (b *Balancer) exceedsLimit(now Micros, r *request, e *endpoint, mayTry bool) bool {
 	predicted := b.predictLatency(now, e, b.expectedWork(now, r, e))
 	limit := b.latencyLimit(now, r, e)
@@ -108,8 +109,8 @@
 }
 
 // tenantWeight returns 1 while r's tenant has had no more than its quota's part of the requests sent, and
-// falls to OverQuotaWeightRatio as the excess reaches tenantTolerance. Only the sends of this balancer are
-// known.
+// falls to OverQuotaWeightRatio as the excess reaches tenantTolerance. Only requests that this balancer has
+// sent are counted, since those of other balancers are not known.
 func (b *Balancer) tenantWeight(now Micros, r *request) float64 {
 	if int(r.Tenant) >= len(b.tenants) {
 		return 1
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// checker is a host that checks on every action that the balancer observes the rules.
+// checker is a host that checks at every action whether the balancer obeys the rules.
 type checker struct {
 	settings   Settings
 	now        Micros
@@ -183,7 +183,7 @@
 	isLargeFleet bool
 }
 
-// newRandomRun returns a run of a balancer that was given a cached list.
+// newRandomRun returns a random run whose balancer starts with a cached endpoint list.
 func newRandomRun(t *testing.T, s Settings, seed int64) *randomRun {
 	t.Helper()
 	r := &randomRun{
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -73,8 +73,8 @@
 	KeepAlive     Micros // how long endpoints keep an idle connection; 0 if connections do not matter
 }
 
-// Contract holds the parameters of the rules. No decision reads DrainGrace and AnswerSlack: nothing is sent to a
-// draining endpoint, and final answers are given by the deadline.
+// Contract holds the parameters of the rules. No decision depends on DrainGrace or AnswerSlack, since nothing is sent
+// to a draining endpoint, and final answers are given by the deadline.
 type Contract struct {
 	DrainGrace       Micros
 	SlowStartRatio   float64 // ratio of its capacity that an endpoint has at its start
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -21,7 +21,7 @@
 	e.slowStart.tokens = b.random.float() * slowStartCharge * b.classes[0].work.value
 }
 
-// slowStartAllows refills e's token bucket and reports whether the tokens suffice for a request of this work.
+// slowStartAllows refills e's token bucket and reports whether it holds enough for a request with this work.
 func (b *Balancer) slowStartAllows(now Micros, e *endpoint, work float64) bool {
 	rate := b.slowStartRate(now, e, work)
 	burst := max(rate*float64(b.settings.Contract.OverloadTime)/float64(second)/2, work*slowStartCharge)
