--- a/internal/cluster/delegate.go
+++ b/internal/cluster/delegate.go
@@ -49,7 +49,8 @@
 	if member.Name != d.node.members.self || member.Address() == d.node.members.advertised {
 		return nil
 	}
-	d.node.log.Error("duplicate instance name, acceptor recovering", "name", member.Name, "address", member.Address())
+	d.node.log.Error("duplicate instance name, granting no key leases until recovered",
+		"name", member.Name, "address", member.Address())
 	select {
 	case d.node.tasks <- d.node.recoverFromDuplicate:
 	default: // the queue is full; memberlist will announce the instance again
--- a/internal/cluster/run.go
+++ b/internal/cluster/run.go
@@ -58,7 +58,7 @@
 	n.lastEventAt = now
 	// A lease duration of 0 means that no class needs leases.
 	if n.cfg.LeaseDuration > 0 && stalled > n.cfg.LeaseDuration/2 {
-		n.log.Warn("process stalled, acceptor recovering", "stalled_for", stalled)
+		n.log.Warn("process stalled, granting no key leases until recovered", "stalled_for", stalled)
 		n.leases.suspendAcceptor(now)
 		n.goroutines.Go(n.resumeAfterSync)
 	}
--- a/internal/drainadvisory/drainadvisory_test.go
+++ b/internal/drainadvisory/drainadvisory_test.go
@@ -53,7 +53,7 @@
 		},
 	} {
 		if got := Withheld("i-1", ready, c.reports); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: withheld %v, want %v", name, got, c.want)
 		}
 	}
 }
--- a/internal/keylease/explorer_test.go
+++ b/internal/keylease/explorer_test.go
@@ -100,7 +100,7 @@
 		return
 	}
 	if err := s.validate(); err != nil {
-		e.violation = fmt.Errorf("%w after%s", err, describe(path))
+		e.violation = fmt.Errorf("%w after these steps:%s", err, describe(path))
 		return
 	}
 	id := s.hash()
