--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -15,7 +15,7 @@
 	Endpoint uint32
 	Target   *Target         // nil if nothing may be sent to the endpoint
 	Deadline balancer.Micros // when the attempt is aborted
-	SendBy   balancer.Micros // after this instant the attempt must not be written any more
+	SendBy   balancer.Micros // after this instant the attempt must no longer be written
 	Zone     uint8           // zone of the endpoint when the attempt was decided
 	Cell     uint16          // cell of the endpoint at the same time
 
--- a/internal/engine/keylease_test.go
+++ b/internal/engine/keylease_test.go
@@ -380,10 +380,10 @@
 	} {
 		name := e.leaseGroup(&balancer.Class{Group: test.group}, test.zone, test.cell)
 		if name != test.name {
-			t.Errorf("group %v of zone %d, cell %d: %q, want %q", test.group, test.zone, test.cell, name, test.name)
+			t.Errorf("group %v of zone %d, cell %d: name %q, want %q", test.group, test.zone, test.cell, name, test.name)
 		}
 		if zone, cell := e.leaseGroupLocation(name); zone != test.wantZone || cell != test.wantCell {
-			t.Errorf("%q: zone %d, cell %d, want %d, %d", name, zone, cell, test.wantZone, test.wantCell)
+			t.Errorf("group name %q: zone %d, cell %d, want zone %d, cell %d", name, zone, cell, test.wantZone, test.wantCell)
 		}
 	}
 	for _, name := range []string{"site nowhere", "pod x", "pod 65536"} {
--- a/internal/engine/loop_test.go
+++ b/internal/engine/loop_test.go
@@ -37,7 +37,7 @@
 	}
 	clock.now = clock.now.Add(time.Second)
 	if now := e.Now(); now != clock.now.UnixMicro() {
-		t.Errorf("the engine's time is %d, the clock's %d", now, clock.now.UnixMicro())
+		t.Errorf("the engine's time is %d, want the clock's time %d", now, clock.now.UnixMicro())
 	}
 	up.attempts[0].PostResult(Result{Status: balancer.OK})
 	if response.Code != 200 {
--- a/internal/front/exchange/body.go
+++ b/internal/front/exchange/body.go
@@ -17,7 +17,7 @@
 var bodyTooLarge = fmt.Sprintf("request body exceeds %d bytes", httpmsg.MaxBodyBytes)
 
 // ReadBody reads a request's body, within its own limit and the limit of all bodies together. The caller
-// calls release once the body is not needed any more. Its errors are ErrBusy and *requestmeta.Error.
+// calls release once the body is no longer needed. Its errors are ErrBusy and *requestmeta.Error.
 func (d *Dispatcher) ReadBody(w http.ResponseWriter, in *http.Request) (body []byte, release func(), err error) {
 	reserved := int64(httpmsg.MaxBodyBytes)
 	if in.ContentLength >= 0 {
--- a/internal/front/exchange/dispatcher.go
+++ b/internal/front/exchange/dispatcher.go
@@ -13,7 +13,7 @@
 	"pinedale/internal/requestmeta"
 )
 
-// ErrDisconnected is the error of Dispatch if the client has disconnected, so that nobody reads a response.
+// ErrDisconnected is the error of Dispatch if the client has disconnected and cannot receive a response.
 var ErrDisconnected = errors.New("client disconnected")
 
 // responseSlack is how long after a request's deadline the dispatcher responds if the engine has not. The engine's
@@ -95,8 +95,8 @@
 	return engine.Response{Code: http.StatusBadGateway}, nil // an attempt may have run or may still run
 }
 
-// notifyDisconnected notifies the engine that nobody waits for a request. It does not wait for space in the
-// engine's queue.
+// notifyDisconnected notifies the engine that the client no longer waits for a request. It does not wait for space in
+// the engine's queue.
 func (d *Dispatcher) notifyDisconnected(request *engine.Request) {
 	event := func(now balancer.Micros) { d.engine.ClientDisconnected(now, request) }
 	if !d.engine.TryPost(event) {
@@ -115,7 +115,7 @@
 	return true
 }
 
-// unregister records that an id is not in flight any more.
+// unregister records that the request with this id is no longer in flight.
 func (d *Dispatcher) unregister(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/front/exchange/dispatcher_test.go
+++ b/internal/front/exchange/dispatcher_test.go
@@ -81,7 +81,7 @@
 
 // A response does not wait for the engine beyond the request's deadline, however long the engine is
 // blocked. A request that the engine has not submitted was never sent and may be retried. The engine is notified
-// later that nobody waits for it.
+// later that the client no longer waits for it.
 func TestResponseInTimeWhileEngineIsBlocked(t *testing.T) {
 	for name, fill := range map[string]func(*engine.Engine){
 		"in the queue":      func(*engine.Engine) {},
--- a/internal/front/exchange/response.go
+++ b/internal/front/exchange/response.go
@@ -17,7 +17,7 @@
 // microsPerSecond converts engine.Response.RetryAfter.
 const microsPerSecond = 1e6
 
-// WriteResponse writes the engine's response.
+// WriteResponse writes the engine's response to the client, with its end-to-end headers only.
 func WriteResponse(w http.ResponseWriter, r engine.Response) {
 	httpmsg.CopyEndToEnd(w.Header(), r.Header)
 	if r.RetryAfter > 0 {
--- a/internal/front/extproc/decision_test.go
+++ b/internal/front/extproc/decision_test.go
@@ -247,7 +247,7 @@
 	}
 }
 
-// A server that leaves the list after a decision is not forwarded to any more: neither in a replay nor in a retry.
+// After a server has left the list, no request is forwarded to it: neither in a replay nor in a retry.
 func TestRetiredEndpointIsNotReused(t *testing.T) {
 	h := start(t, 3, nil)
 	req := h.request("pay")
--- a/internal/front/extproc/harness_test.go
+++ b/internal/front/extproc/harness_test.go
@@ -289,7 +289,7 @@
 	return func() { close(released) }
 }
 
-// openCount returns the number of open streams and rounds. Entries may remain.
+// openCount returns the number of open streams and rounds. Entries are not counted, since they outlive their rounds.
 func (h *harness) openCount() int {
 	streams, rounds, _ := h.server.Counts()
 	return streams + rounds
--- a/internal/front/extproc/host.go
+++ b/internal/front/extproc/host.go
@@ -141,8 +141,8 @@
 	r.host.ledger.AttemptScheduled(r.host.engine.Now(), r.id, location, &forwardTarget{a.Target, a.Deadline})
 }
 
-// Cancel handles that the module no longer waits for an attempt. It is called from within the module, which must not be
-// called back, so the ledger is notified later.
+// Cancel is called when the module no longer waits for an attempt. The call comes from within the module, which must
+// not be called back, so the ledger is notified later.
 func (r *round) Cancel(a *engine.Attempt) {
 	index := slices.Index(r.attempts, a)
 	r.host.engine.Defer(func(now routing.Micros) { r.host.ledger.AttemptCancelled(now, r.id, index) })
--- a/internal/front/extproc/report.go
+++ b/internal/front/extproc/report.go
@@ -19,8 +19,8 @@
 	headerUnprocessed = "x-unprocessed" // "1": the endpoint never ran the request
 )
 
-// attributeNamespace is where the filter puts the attributes that it was configured to send, and attributeDetails the
-// one that states why the proxy itself made an answer (RESPONSE_CODE_DETAILS).
+// attributeNamespace is the namespace in which the filter sends the attributes that it is configured to send.
+// attributeDetails is the attribute that states why the proxy itself generated an answer (RESPONSE_CODE_DETAILS).
 const (
 	attributeNamespace = "envoy.filters.http.ext_proc"
 	attributeDetails   = "response.code_details"
--- a/internal/front/extproc/stream_test.go
+++ b/internal/front/extproc/stream_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// Streams beyond the limit end with a clear status. Idle ones take little memory, and end at their deadline.
+// Streams beyond the limit end with ResourceExhausted. Idle streams take little memory, and end at their deadline.
 func TestIdleStreamsAreBoundedAndExpire(t *testing.T) {
 	const (
 		maxStreams     = 10_000
--- a/internal/front/fronttest/fronttest.go
+++ b/internal/front/fronttest/fronttest.go
@@ -1,5 +1,5 @@
-// Package fronttest runs what a front under test needs behind it: emulated servers and an engine that sends requests
-// to them over HTTP/1.1.
+// Package fronttest provides the backend for tests of a front: emulated servers, and an engine that sends requests to
+// them over HTTP/1.1.
 package fronttest
 
 import (
--- a/internal/front/httpfront/accept.go
+++ b/internal/front/httpfront/accept.go
@@ -12,7 +12,7 @@
 	// acceptRetryInterval is the pause after a failed accept. It is short because clients in the listener's queue may
 	// already have sent their requests.
 	acceptRetryInterval = 5 * time.Millisecond
-	// acceptLogInterval is the shortest time between two log lines on such failures.
+	// acceptLogInterval is the shortest time between two log lines on failed accepts.
 	acceptLogInterval = time.Second
 )
 
--- a/internal/front/httpfront/listener_test.go
+++ b/internal/front/httpfront/listener_test.go
@@ -207,7 +207,7 @@
 	}
 	slow.receivingSince = time.Now().Add(-2 * slowRequestAfter)
 	if !l.admit(&clientConn{Conn: local, owner: l}) || l.count() != 1 {
-		t.Errorf("a slow request is not evicted; %d connections", l.count())
+		t.Errorf("a connection with a slow request is not evicted: %d connections, want 1", l.count())
 	}
 	if _, ok := slow.requestStarted(0); ok {
 		t.Error("an evicted connection accepts a request")
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -141,7 +141,7 @@
 	return list
 }
 
-// cell returns the cell of an endpoint.
+// cell returns the cell of an endpoint. Each cell has two endpoints.
 func cell(endpoint uint32) uint16 { return uint16(endpoint-1) / 2 }
 
 // call runs a call into the module, and then the calls that were deferred during it.
@@ -284,7 +284,7 @@
 	return response
 }
 
-// closeStream closes a stream.
+// closeStream closes a stream. undelivered is set if its Forward never reached the caller.
 func (h *harness) closeStream(stream StreamID, undelivered bool) {
 	h.ledger.StreamClosed(h.now, stream, undelivered)
 	h.runDeferred()
--- a/internal/routing/ledger.go
+++ b/internal/routing/ledger.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// capacityRetryAfter is the Retry-After of AtCapacity. Entries are retained for a few seconds, so that some of
-	// them expire within it.
+	// capacityRetryAfter is the Retry-After of AtCapacity. Entries are retained for a few seconds, so some of
+	// them expire within this time.
 	capacityRetryAfter Micros = 1_000_000
 
-	// maxRequestsPerEntry bounds the request IDs that are counted separately within an entry. A client that makes
-	// more than a first request and a dozen retries within seconds is broken.
+	// maxRequestsPerEntry bounds the request IDs that are counted separately within an entry. A correct client
+	// makes no more than a first request and a dozen retries within seconds.
 	maxRequestsPerEntry = 16
 )
 
--- a/internal/routing/model_test.go
+++ b/internal/routing/model_test.go
@@ -171,7 +171,7 @@
 	m.harness.report(stream.id, status)
 }
 
-// closeStream ends a random stream, perhaps before its forward was delivered.
+// closeStream ends a random stream, possibly before its Forward was delivered.
 func (m *model) closeStream() {
 	stream := m.drawStream()
 	undelivered := stream.forward != nil && !stream.reported && rapid.Bool().Draw(m.t, "undelivered")
@@ -186,13 +186,13 @@
 	m.remove(stream, undelivered)
 }
 
-// remove closes a stream.
+// remove deletes a stream from the model and closes it in the ledger.
 func (m *model) remove(stream *modelStream, undelivered bool) {
 	m.streams = slices.DeleteFunc(m.streams, func(open *modelStream) bool { return open == stream })
 	m.harness.closeStream(stream.id, undelivered)
 }
 
-// retireEndpoint makes an endpoint drain.
+// retireEndpoint marks a random endpoint as draining.
 func (m *model) retireEndpoint() {
 	endpoint := rapid.IntRange(1, 6).Draw(m.t, "endpoint")
 	m.harness.retired[uint32(endpoint)] = true
--- a/internal/routing/replay.go
+++ b/internal/routing/replay.go
@@ -2,9 +2,9 @@
 
 import "pinedale/balancer"
 
-// deliveryMargin is subtracted from a deduplication window for the time from a response to its use: a request forwarded
-// at the very end of the window would reach the endpoint after it. A caller on the same machine needs under a
-// millisecond, an overloaded one some tens of milliseconds.
+// deliveryMargin is subtracted from a deduplication window, since a caller needs some time to act on a response: a
+// request forwarded at the very end of the window would reach the endpoint after it. A caller on the same machine needs
+// under a millisecond, an overloaded one some tens of milliseconds.
 const deliveryMargin Micros = 100_000
 
 // Reasons of Conflict and KeyReused.
--- a/internal/routing/round.go
+++ b/internal/routing/round.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// cancelRound ends a round that no stream waits for any more.
+// cancelRound ends a round for which no stream waits.
 func (l *Ledger) cancelRound(now Micros, r *round) {
 	r.answered = true
 	l.actions.CancelRound(r.id)
