--- a/cmd/pinedale-faulttest/commands.go
+++ b/cmd/pinedale-faulttest/commands.go
@@ -58,7 +58,7 @@
 	return schedules
 }
 
-// runDescription is the long help of the command run.
+// runDescription is the long help text of the subcommand "run".
 const runDescription = "Run schedules drawn from seeds, or the one in a TOML file, and check the results. " +
 	"A run with findings is stored as\nrun.json in a directory of its own, with its schedule as schedule.toml. " +
 	"The command then fails with an error that names\nthe schedule."
--- a/cmd/pinedale-register/supervisor.go
+++ b/cmd/pinedale-register/supervisor.go
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// stopServer sends SIGTERM to the server, waits for its end and returns its error. It does nothing if another program
-// runs the server.
+// stopServer sends SIGTERM to the server, waits until it has exited and returns its error. It does nothing if another
+// program runs the server.
 func (s *supervisor) stopServer() error {
 	if s.command == nil {
 		return nil
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -60,7 +60,7 @@
 	return append(header, payload.Bytes()...)
 }
 
-// batch returns a frame of records.
+// batch returns a frame that contains a batch of records.
 func batch(number uint32, now uint64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	frame := binary.BigEndian.AppendUint32(nil, number)
@@ -159,7 +159,7 @@
 	}
 	number, codes := actions(t, []byte(out))
 	if number != 7 || codes[0] != codeReplyInstance || bytes.Count(codes, []byte{codeDeliver}) != 1 {
-		t.Errorf("number %d, codes %v", number, codes)
+		t.Errorf("reply %d has record codes %v, want reply 7 with one deliver record", number, codes)
 	}
 }
 
@@ -192,11 +192,13 @@
 	}
 	countsTogether, countsAlone := countRecords(together), countRecords(alone)
 	if len(countsTogether) != len(countsAlone) {
-		t.Fatalf("%d kinds of record together, %d alone", len(countsTogether), len(countsAlone))
+		t.Fatalf("%d distinct records from instances in one process, %d from separate processes",
+			len(countsTogether), len(countsAlone))
 	}
 	for action, count := range countsTogether {
 		if countsAlone[action] != count {
-			t.Errorf("record %x: %d together, %d alone", action, count, countsAlone[action])
+			t.Errorf("record %x: written %d times by instances in one process, %d times by separate processes",
+				action, count, countsAlone[action])
 		}
 	}
 }
@@ -260,7 +262,7 @@
 			t.Fatal(err)
 		}
 		if _, codes := actions(t, []byte(out)); codes[len(codes)-1] != codeException {
-			t.Errorf("codes %v, want an exception record last", codes)
+			t.Errorf("record codes %v, want an exception record last", codes)
 		}
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -58,7 +58,7 @@
 	c := simulateArrivals(a, []float64{10_000, 800, 800}, 0, 11)
 	for i := 1; i < 3; i++ {
 		if c.admitted[i] < 0.98*c.requested[i] {
-			t.Errorf("tenant %d: %v of %v admitted", i, c.admitted[i], c.requested[i])
+			t.Errorf("tenant %d: %v of %v requests admitted, want at least 98%%", i, c.admitted[i], c.requested[i])
 		}
 	}
 	if remaining := 10 * (3000.0 - 1600); math.Abs(c.admitted[0]-remaining) > 0.05*remaining {
@@ -148,7 +148,7 @@
 		{1, 1, true},
 	} {
 		if admit(c.tenant, c.class) != c.ok {
-			t.Errorf("request %d: want admitted %v", i, c.ok)
+			t.Errorf("request %d: admitted %v, want %v", i, !c.ok, c.ok)
 		}
 	}
 	if a.InFlight() != 4 {
@@ -207,7 +207,7 @@
 		requested, admitted := window.requested[i], window.admitted[i]
 		share := math.Floor(config.Rate * float64(Window) / 1e6 * tenant.Weight / totalWeight)
 		if admitted < min(requested, share) {
-			t.Fatalf("tenant %d: %v of %v admitted, its share is %v", i, admitted, requested, share)
+			t.Fatalf("tenant %d: %v of %v requests admitted, its share is %v", i, admitted, requested, share)
 		}
 	}
 }
@@ -267,7 +267,7 @@
 		}
 	})
 	if allocations != 0 {
-		t.Errorf("%v allocations per request", allocations)
+		t.Errorf("%v allocations per request, want 0", allocations)
 	}
 }
 
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// compareDemand orders the tenants of two indexes by demand over weight, and then by index.
+// compareDemand compares the tenants with indexes i and j by their ratio of demand to weight, and by index if equal.
 func (a *Admission) compareDemand(i, j int) int {
 	first, other := &a.tenants[i], &a.tenants[j]
 	// Each demand is multiplied by the other weight, since a weight may be 0.
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -13,8 +13,7 @@
 // minBadFiles is less than the number of files in testdata/bad.
 const minBadFiles = 150
 
-// hasError reports whether one line of the errors of a file begins with this line number, 0 for none, and contains all
-// texts.
+// hasError reports whether one line of the error text has this line number (0 for none) and contains all texts.
 func hasError(err error, line int, texts ...string) bool {
 	prefix := fmt.Sprintf("line %d: ", line)
 	if line == 0 {
@@ -181,7 +180,7 @@
 			}
 			var fileError *FileError
 			if file != nil || !errors.As(err, &fileError) {
-				t.Fatalf("%q: %v, %v", test.replacement, file, err)
+				t.Fatalf("%q: file %v, error %v, want no file and a *FileError", test.replacement, file, err)
 			}
 			if !hasError(err, test.line, test.key) {
 				t.Errorf("%q: reported %q, want line %d and %q", test.replacement, err, test.line, test.key)
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -124,12 +124,12 @@
 			file, err := Parse([]byte(replaceOnce(t, example, "[fleet]\n", "[fleet]\n"+test.keys)))
 			if test.reason != "" {
 				if err == nil || !strings.Contains(err.Error(), test.reason) {
-					t.Errorf("%q: %v, want %q", test.keys, err, test.reason)
+					t.Errorf("%q: error %v, want %q", test.keys, err, test.reason)
 				}
 				return
 			}
 			if err != nil {
-				t.Fatalf("%q: %v", test.keys, err)
+				t.Fatalf("%q is rejected: %v", test.keys, err)
 			}
 			settings, ok := file.SubsetConfig()
 			if part, err := subset.New(settings); !ok || part == nil || err != nil {
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -222,7 +222,7 @@
 				return
 			}
 			if err == nil || !strings.Contains(err.Error(), test.reason) {
-				t.Errorf("%v, want %q", err, test.reason)
+				t.Errorf("error %v, want %q", err, test.reason)
 			}
 		})
 	}
--- a/internal/faulttest/faulttest.go
+++ b/internal/faulttest/faulttest.go
@@ -27,8 +27,8 @@
 	afterLoad func(context.Context, *testRun) error
 }
 
-// testRun is one run of a fault test: its processes, the network between them, and the history. The fields that start
-// sets do not change afterwards.
+// testRun is one run of a fault test: its processes, the network between them, and the history. The fields that are
+// set in start do not change afterwards.
 type testRun struct {
 	options   Options
 	loadStart time.Time // all times of the history are relative to it
--- a/internal/faulttest/plot.go
+++ b/internal/faulttest/plot.go
@@ -127,7 +127,7 @@
 	return renderSVG(p, h, float64(h.Schedule.Instances)+1)
 }
 
-// addLine adds a line in the color of an index, and its entry in the legend.
+// addLine adds a line and its entry in the legend. colorIndex selects the color of the line.
 func addLine(p *plot.Plot, label string, points plotter.XYs, colorIndex int) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
--- a/internal/faulttest/serverprocess.go
+++ b/internal/faulttest/serverprocess.go
@@ -13,7 +13,7 @@
 // errServerCommand is wrapped by the error of a command that the server process failed to execute.
 var errServerCommand = errors.New("server process failed to execute a command")
 
-// serverProcess controls the server process of a run.
+// serverProcess controls the child process in which the servers of a run are executed.
 type serverProcess struct {
 	running []runningServer // in the order of the serverSpec
 
--- a/internal/faulttest/serverprotocol.go
+++ b/internal/faulttest/serverprotocol.go
@@ -34,7 +34,7 @@
 	actionReport      serverAction = "report"
 )
 
-// serverCommand requests an action.
+// serverCommand is a command to the server process.
 type serverCommand struct {
 	Action serverAction
 	Server string // name of the server to stop or start
--- a/internal/front/extproc/protocol_test.go
+++ b/internal/front/extproc/protocol_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// A stream whose messages are out of order ends with a clear status, and no other stream is affected.
+// A stream whose messages are out of order ends with InvalidArgument, and no other stream is affected.
 func TestMessageOutOfOrderEndsItsStream(t *testing.T) {
 	h := start(t, 2, nil)
 	other := h.open(context.Background())
--- a/internal/membership/multisource/source_test.go
+++ b/internal/membership/multisource/source_test.go
@@ -123,7 +123,7 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-watchEnded; !errors.Is(err, context.Canceled) {
-			t.Errorf("the watch ended with %v", err)
+			t.Errorf("the watch ended with error %v, want context.Canceled", err)
 		}
 		h.service.Close()
 		h.discovery.Close()
--- a/internal/membership/reconcile/reconciler.go
+++ b/internal/membership/reconcile/reconciler.go
@@ -92,7 +92,7 @@
 	r.markPendingDirty()
 }
 
-// SourceUnavailable records that a source does not report any more. Its last list remains valid.
+// SourceUnavailable records that a source has stopped reporting. Its last list remains valid.
 func (r *Reconciler) SourceUnavailable(now time.Duration, index int, reason string) {
 	r.evictAllDue(now)
 	source := r.sources[index]
@@ -162,7 +162,7 @@
 	}
 }
 
-// advance evicts the endpoints that are due, and marks the pending endpoints that are due dirty.
+// advance evicts the endpoints that are due for eviction, and marks pending endpoints as dirty once they are due.
 func (r *Reconciler) advance(now time.Duration) {
 	r.evictAllDue(now)
 	for name, at := range r.pending {
--- a/internal/membership/reconcile/reconciler_test.go
+++ b/internal/membership/reconcile/reconciler_test.go
@@ -53,7 +53,7 @@
 	h.snapshot(1, 3, hosts("a", "b"))
 }
 
-// A session may expire while its server runs. The end counts at once, and the server is ready
+// A session may expire while its server runs. The server stops being ready at once, and is ready
 // again once discovery lists it in a report after MaxDiscoveryLag.
 func TestExpiredSessionIsOverruledByDiscovery(t *testing.T) {
 	h := startTwoSources(t)
@@ -74,7 +74,7 @@
 	h.wantReady("discovery has listed it after its maximum lag", "b")
 }
 
-// Endpoints of an unavailable source remain ready, and changes by other sources count.
+// Endpoints of an unavailable source remain ready, and changes reported by other sources take effect.
 func TestUnavailableSourceKeepsItsList(t *testing.T) {
 	h := newHarness(t, Ephemeral, Discovery)
 	h.snapshot(0, 1, hosts("a", "b", "c"))
@@ -151,10 +151,10 @@
 	h.wantReady("ten hold times later", "a b c d e f")
 }
 
-// A retained endpoint is evicted when it is due, even if List is called later. If another source
-// lists it right after that, its claim supersedes the end, and the endpoint is ready at once. If
-// the end had the time of the next call of List, the endpoint would not be ready before
-// MaxDiscoveryLag.
+// A retained endpoint is evicted when it is due, even if List is called only later. If another
+// source lists the endpoint after that time, this claim is newer than the eviction, and the
+// endpoint is ready at once. If the eviction were dated to the next call of List, the endpoint
+// would not be ready before MaxDiscoveryLag.
 func TestEvictionPrecedesLaterReports(t *testing.T) {
 	h := newHarness(t, Ephemeral, Discovery)
 	h.snapshot(0, 1, hosts("a"))
@@ -195,8 +195,8 @@
 	h.wantSingleLogLine("endpoint flapping")
 }
 
-// An endpoint with a newer start time is a new incarnation. Claims on the previous incarnation do
-// not count any more.
+// An endpoint with a newer start time is a new incarnation. Claims on the previous incarnation no
+// longer count.
 func TestClaimsOnPreviousIncarnationDoNotCount(t *testing.T) {
 	h := newHarness(t, Ephemeral, Discovery)
 	h.snapshot(0, 1, []engine.Host{newHost("a", 1000)})
--- a/internal/membership/registry/client_test.go
+++ b/internal/membership/registry/client_test.go
@@ -163,7 +163,7 @@
 				service := &scriptedService{outcomes: c.outcomes, version: 41}
 				reported := watch(t, c.timing, service, len(c.kinds))
 				if got := kindsOf(reported); !slices.Equal(got, c.kinds) {
-					t.Fatalf("reported %v, want %v; calls %v", got, c.kinds, service.calls)
+					t.Fatalf("reported list kinds %v, want %v; calls %v", got, c.kinds, service.calls)
 				}
 				stalledSince := service.calls[firstOfLastStall(c.outcomes)].at
 				if elapsed := reported[len(reported)-1].at.Sub(stalledSince); elapsed > c.limit {
@@ -222,10 +222,10 @@
 		reported := watch(t, PollTiming, service, 3)
 		want := []balancer.ListKind{balancer.ListFull, balancer.ListFull, balancer.ListFull}
 		if got := kindsOf(reported); !slices.Equal(got, want) {
-			t.Fatalf("reported %v, want %v", got, want)
+			t.Fatalf("reported list kinds %v, want %v", got, want)
 		}
 		if reported[1].list.Version != 8 || reported[2].list.Version != 3 {
-			t.Errorf("reported %+v, want versions 8 and 3 after the first", reported)
+			t.Errorf("reported lists %+v, want versions 8 and 3 after the first list", reported)
 		}
 		if service.calls[2].url != "/registry/instances" {
 			t.Errorf("after the lower version the client called %s", service.calls[2].url)
--- a/internal/policy/lookup_test.go
+++ b/internal/policy/lookup_test.go
@@ -234,7 +234,7 @@
 		"x--y":   "X--Y",
 	} {
 		if got := Canonical(name); got != want {
-			t.Errorf("%q: %q, want %q", name, got, want)
+			t.Errorf("Canonical(%q) is %q, want %q", name, got, want)
 		}
 	}
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// deleteUnit removes a unit without members from its site, and the site with its last unit.
+// deleteUnit removes a unit without members from its site, and removes the site if that was its last unit.
 func (s *Subset) deleteUnit(site string, u *unit) {
 	units := s.sites[site]
 	if index, found := slices.BinarySearchFunc(units, u, compareUnits); found {
@@ -172,7 +172,7 @@
 }
 
 // ObserveOutcome records whether a server answered a request. It reports whether a selected
-// server has begun or ceased to fail, in which case Select should be called.
+// server has started or stopped failing, in which case Select should be called.
 func (s *Subset) ObserveOutcome(name string, answered bool) (changed bool) {
 	m := s.members[name]
 	if m == nil {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -59,7 +59,7 @@
 	} {
 		_, err := Decode([]byte(c.text), maxTestBytes, &shop{})
 		if err == nil || err.Error() != c.want {
-			t.Errorf("%s: %v, want %s", name, err, c.want)
+			t.Errorf("%s: error %v, want %s", name, err, c.want)
 		}
 		var typed *Error
 		if !errors.As(err, &typed) {
