--- a/internal/app/agreement_test.go
+++ b/internal/app/agreement_test.go
@@ -74,7 +74,7 @@
 		t.Errorf("executed twice: %v", duplicates)
 	}
 	if counts := fleet.Counts(); counts.Executed != keyCount || counts.Deduplicated < keyCount {
-		t.Errorf("%+v: want each key executed once and its retries dropped", counts)
+		t.Errorf("server counts %+v, want each key executed once and its retries dropped", counts)
 	}
 }
 
@@ -89,6 +89,6 @@
 		}
 	}
 	if len(fleet.DuplicateEffects()) == 0 {
-		t.Error("no request was executed twice")
+		t.Error("no request was executed twice, want duplicate executions without agreement")
 	}
 }
--- a/internal/app/front_tls_test.go
+++ b/internal/app/front_tls_test.go
@@ -80,7 +80,7 @@
 	trusted := root.IssueFor(time.Hour, "clerk.example.org")
 	trustedClient := newTLSClient(t, clientTLS(t, root, trusted))
 	if statusCode, err := i.sendPriceCheck(trustedClient, "https"); statusCode != http.StatusOK {
-		t.Fatalf("a trusted client: status %d, %v", statusCode, err)
+		t.Fatalf("a trusted client: status %d, error %v, want status 200", statusCode, err)
 	}
 	for _, test := range []struct {
 		name      string
@@ -92,17 +92,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			client := newTLSClient(t, clientTLS(t, root, test.presented))
 			if statusCode, err := i.sendPriceCheck(client, "https"); err == nil {
-				t.Errorf("status %d", statusCode)
+				t.Errorf("request was answered with status %d, want an error", statusCode)
 			}
 		})
 	}
 	i.files.WriteFile(i.files.Revoked, root.RevocationList(trusted.Leaf))
 	i.stores.reload()
 	if statusCode, err := i.sendPriceCheck(trustedClient, "https"); statusCode != http.StatusForbidden {
-		t.Errorf("revoked, on an established connection: status %d, %v", statusCode, err)
+		t.Errorf("revoked, on an established connection: status %d, error %v, want status 403", statusCode, err)
 	}
 	if statusCode, err := i.sendPriceCheck(trustedClient, "https"); err == nil {
-		t.Errorf("revoked, on a new connection: status %d", statusCode)
+		t.Errorf("revoked, on a new connection: status %d, want an error", statusCode)
 	}
 }
 
--- a/internal/app/http3_test.go
+++ b/internal/app/http3_test.go
@@ -30,7 +30,7 @@
 	request := newRequest(http.MethodGet, "https://"+r.HTTP3.String()+"/price-check/x", priceHeaders...)
 	statusCode, _, err := roundTrip(client.RoundTrip, request)
 	if err == nil && statusCode != http.StatusOK {
-		err = fmt.Errorf("status %d", statusCode)
+		err = fmt.Errorf("status %d, want 200", statusCode)
 	}
 	return err
 }
--- a/internal/app/lifecycle_test.go
+++ b/internal/app/lifecycle_test.go
@@ -47,7 +47,7 @@
 // lifecycleAddresses are the addresses of an instance, by the key of the file.
 type lifecycleAddresses struct{ http, extProc, http3, peers, status string }
 
-// newLifecycleAddresses returns addresses on which nobody listens.
+// newLifecycleAddresses returns addresses on which nothing listens.
 func newLifecycleAddresses(t *testing.T) *lifecycleAddresses {
 	t.Helper()
 	return &lifecycleAddresses{
@@ -74,7 +74,7 @@
 	return file
 }
 
-// requireFree checks that nobody listens on any of the addresses.
+// requireFree checks that nothing listens on any of the addresses.
 func (a *lifecycleAddresses) requireFree(t *testing.T) {
 	t.Helper()
 	for _, address := range []string{a.http, a.extProc, a.peers, a.status} {
@@ -150,7 +150,7 @@
 	}
 	request := newRequest(http.MethodGet, "http://"+addresses.http+"/price-check/x", priceHeaders...)
 	if statusCode, _, err := roundTrip(http.DefaultClient.Do, request); statusCode != http.StatusOK {
-		t.Errorf("status %d, %v", statusCode, err)
+		t.Errorf("status %d, error %v, want status 200", statusCode, err)
 	}
 	if instanceGoroutines() == "" {
 		t.Error("instanceGoroutines finds no goroutine of a running instance")
@@ -177,7 +177,7 @@
 	errFront := errors.New("the front has failed")
 	instance.serve(func() error { return errFront })
 	if err := instance.Wait(); !errors.Is(err, errFront) {
-		t.Errorf("%v, want %v", err, errFront)
+		t.Errorf("Wait returned error %v, want %v", err, errFront)
 	}
 	addresses.requireFree(t)
 }
--- a/internal/app/reload_test.go
+++ b/internal/app/reload_test.go
@@ -41,7 +41,7 @@
 		clients.Go(func() {
 			for !ended.Load() {
 				if statusCode, _ := r.do(newRequest()); statusCode != http.StatusOK {
-					t.Errorf("status %d", statusCode)
+					t.Errorf("a request during reloads: status %d, want 200", statusCode)
 					return
 				}
 				served.Add(1)
@@ -73,21 +73,23 @@
 	initialNumber := classNumber()
 	r.reload(priceClass)
 	if statusCode, _ := r.do(r.newPayment()); statusCode != http.StatusBadRequest {
-		t.Errorf("a request of the removed class: status %d", statusCode)
+		t.Errorf("a request of the removed class: status %d, want 400", statusCode)
 	}
 	if statusCode, _ := r.do(r.newPriceCheck()); statusCode != http.StatusOK {
-		t.Errorf("a request of the other class: status %d", statusCode)
+		t.Errorf("a request of the other class: status %d, want 200", statusCode)
 	}
 	if statusCode := <-inFlight; statusCode != http.StatusOK {
-		t.Errorf("the request in flight: status %d", statusCode)
+		t.Errorf("the request in flight: status %d, want 200", statusCode)
 	}
 	r.reload(priceClass, payClass)
 	if statusCode, _ := r.do(r.newPayment()); statusCode != http.StatusOK || classNumber() != initialNumber {
-		t.Errorf("the class is back: status %d, number %d, was %d", statusCode, classNumber(), initialNumber)
+		t.Errorf("after the class is added again: status %d, want 200; class number %d, want %d",
+			statusCode, classNumber(), initialNumber)
 	}
 	r.reload(priceClass, strings.Replace(payClass, "1.5s", "1.6s", 1))
 	if statusCode, _ := r.do(r.newPayment()); statusCode != http.StatusOK || classNumber() == initialNumber {
-		t.Errorf("the class has changed: status %d, number %d, was %d", statusCode, classNumber(), initialNumber)
+		t.Errorf("after a change of the class: status %d, want 200; class number %d, want one other than %d",
+			statusCode, classNumber(), initialNumber)
 	}
 }
 
--- a/internal/app/routes_test.go
+++ b/internal/app/routes_test.go
@@ -79,11 +79,11 @@
 		start := time.Now()
 		for range requestsToPool {
 			if statusCode, _ := r.do(r.newRequest(http.MethodGet, "/prices/maize")); statusCode != http.StatusOK {
-				t.Fatalf("status %d", statusCode)
+				t.Fatalf("status %d, want 200", statusCode)
 			}
 		}
 		if r.backends[outside].LastRequest().After(start) || r.backends[inPool].LastRequest().Before(start) {
-			t.Errorf("requests did not go to server %d alone", inPool)
+			t.Errorf("requests did not go to server %d only", inPool)
 		}
 	}
 	requireRequestsToBackend(1, 0)
--- a/internal/app/tenants_test.go
+++ b/internal/app/tenants_test.go
@@ -29,18 +29,19 @@
 	statusCode, header := r.do(newRequest("duka"))
 	took := time.Since(start)
 	if statusCode != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || took > maxRejectionTime {
-		t.Errorf("second request of a tenant with a limit of 1: status %d after %v, %v", statusCode, took, header)
+		t.Errorf("second request of a tenant with a limit of 1: status %d after %v, header %v; "+
+			"want 503 with Retry-After within %v", statusCode, took, header, maxRejectionTime)
 	}
 	if statusCode, _ := r.do(newRequest("soko")); statusCode != http.StatusOK {
-		t.Errorf("another tenant: status %d", statusCode)
+		t.Errorf("a request of another tenant: status %d, want 200", statusCode)
 	}
 	if statusCode, _ := r.do(newRequest("nobody")); statusCode != http.StatusBadRequest {
-		t.Errorf("an unknown tenant: status %d", statusCode)
+		t.Errorf("a request of an unknown tenant: status %d, want 400", statusCode)
 	}
 	if statusCode := <-inFlight; statusCode != http.StatusOK {
-		t.Errorf("the first request: status %d", statusCode)
+		t.Errorf("the first request: status %d, want 200", statusCode)
 	}
 	if statusCode, _ := r.do(newRequest("duka")); statusCode != http.StatusOK {
-		t.Errorf("after the first request: status %d", statusCode)
+		t.Errorf("a request after the first one has ended: status %d, want 200", statusCode)
 	}
 }
--- a/internal/app/upstream_tls_test.go
+++ b/internal/app/upstream_tls_test.go
@@ -37,7 +37,7 @@
 					fmt.Sprintf(upstreamKeysFormat, protocol.http3))
 				for n := range requests {
 					if statusCode, err := i.sendPriceCheck(http.DefaultClient, "http"); statusCode != http.StatusOK {
-						t.Fatalf("request %d: status %d, %v", n, statusCode, err)
+						t.Fatalf("request %d: status %d, error %v, want status 200", n, statusCode, err)
 					}
 				}
 				avoided, used := i.fleets[0].Counts(), i.fleets[1].Counts()
@@ -83,7 +83,7 @@
 		statusCode, err := i.sendPriceCheck(http.DefaultClient, "http")
 		took := time.Since(start)
 		if statusCode != http.StatusServiceUnavailable && statusCode != http.StatusBadGateway || took > maxTime {
-			t.Errorf("status %d, %v after %v", statusCode, err, took)
+			t.Errorf("status %d, error %v after %v, want 502 or 503 within %v", statusCode, err, took, maxTime)
 		}
 	}
 	if i.fleets[0].Counts().Requests+i.fleets[1].Counts().Requests != 0 {
@@ -97,7 +97,7 @@
 		i := startExpiredFleet(t, `peers_over = "2h"`)
 		for range 5 {
 			if statusCode, err := i.sendPriceCheck(http.DefaultClient, "http"); statusCode != http.StatusOK {
-				t.Errorf("status %d, %v", statusCode, err)
+				t.Errorf("status %d, error %v, want status 200", statusCode, err)
 			}
 		}
 	})
--- a/internal/certstore/files_test.go
+++ b/internal/certstore/files_test.go
@@ -30,10 +30,10 @@
 		t.Errorf("names %q", got)
 	}
 	if got := leaf.SerialNumber.String(); got != "4" {
-		t.Errorf("serial number %s", got)
+		t.Errorf("serial number %s, want 4", got)
 	}
 	if got := store.Counters(); got != (Counters{Accepted: 1, Remaining: 12 * time.Hour}) {
-		t.Errorf("counters %+v", got)
+		t.Errorf("counters %+v, want one accepted and 12 h remaining", got)
 	}
 	secret, err := store.Secret("QUIC stateless reset, pinedale-1")
 	if err != nil {
@@ -41,15 +41,15 @@
 	}
 	const wantSecret = "2a3fca4e07ae8ff179dc865dd190d86e626ed4cf2f9ea9b3b5892d30525e9d73"
 	if got := hex.EncodeToString(secret[:]); got != wantSecret {
-		t.Errorf("secret %s", got)
+		t.Errorf("secret %s, want %s", got, wantSecret)
 	}
 	material := store.current.Load().material
 	if len(material.Certs) != 2 || len(material.Roots) != 2 || len(material.RevocationLists) != 1 {
-		t.Fatalf("%d certificates, %d roots, %d revocation lists", len(material.Certs), len(material.Roots),
+		t.Fatalf("%d certificates, %d roots, %d revocation lists, want 2, 2 and 1", len(material.Certs), len(material.Roots),
 			len(material.RevocationLists))
 	}
 	revoked := material.RevocationLists[0].RevokedCertificateEntries
 	if len(revoked) != 1 || revoked[0].SerialNumber.String() != "5" {
-		t.Errorf("revoked %+v", revoked)
+		t.Errorf("revoked entries %+v, want one with serial number 5", revoked)
 	}
 }
--- a/internal/certstore/store_test.go
+++ b/internal/certstore/store_test.go
@@ -128,7 +128,7 @@
 		t.Errorf("logged %q, want one rejection with the certificate's name and no private key", logged)
 	}
 	if c := store.Counters(); c.Accepted != 1 || c.Rejected != 3 || c.Remaining != 12*time.Hour {
-		t.Errorf("counters %+v", c)
+		t.Errorf("counters %+v, want 1 accepted, 3 rejected and 12 h remaining", c)
 	}
 }
 
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -122,7 +122,7 @@
 	} {
 		cfg, err := parseConfig([]byte(head + test.settings + "}"))
 		if err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: valid settings are rejected: %v", name, err)
 		} else if !test.check(cfg) {
 			t.Errorf("%s: wrong configuration %+v", name, cfg)
 		}
--- a/internal/sidecar/connections_test.go
+++ b/internal/sidecar/connections_test.go
@@ -51,7 +51,7 @@
 		got := h.exchangeRaw(payHeaders + "X-Correlation-Id: 1\r\n" + head + "\r\n" + body)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 400") ||
 			!strings.Contains(got, "Transfer-Encoding") {
-			t.Errorf("%s: got %q", name, got)
+			t.Errorf("%s: got %q, want one response with status 400", name, got)
 		}
 	}
 	// A smuggling request after a valid one: net/http skips empty lines between requests.
@@ -70,7 +70,7 @@
 		payHeaders, len(body), body)
 	rest, _ := io.ReadAll(in)
 	if strings.Count(string(rest), "HTTP/1.1") != 1 || !strings.HasPrefix(string(rest), "HTTP/1.1 400") {
-		t.Errorf("after an empty line: got %q", rest)
+		t.Errorf("after an empty line: got %q, want one response with status 400", rest)
 	}
 	if n := endpoint.RequestCount(); n != 1 {
 		t.Errorf("%d requests reached the endpoint, want only the valid one", n)
@@ -88,7 +88,7 @@
 	} {
 		got := h.exchangeRaw(text)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") {
-			t.Errorf("%s: got %q", name, got)
+			t.Errorf("%s: got %q, want one response with status 200", name, got)
 		}
 	}
 	if n := endpoint.RequestCount(); n != 2 {
@@ -167,7 +167,7 @@
 	})
 	for class, body := range map[string]string{"read": "", "pay": "x"} {
 		if got := h.send(h.newRequest(class, body, time.Minute)); got.code != http.StatusOK {
-			t.Errorf("%s: got %+v", class, got)
+			t.Errorf("class %s: got %+v, want status 200", class, got)
 		}
 	}
 }
@@ -180,14 +180,14 @@
 	first := h.sendAsync(same.Clone(context.Background()))
 	h.waitFor("the first request to arrive", func() bool { return endpoint.RequestCount() == 1 })
 	if got := h.send(same.Clone(context.Background())); got.code != http.StatusConflict {
-		t.Errorf("the second request: %+v", got)
+		t.Errorf("the second request: got %+v, want status 409", got)
 	}
 	close(answer)
 	if got := <-first; got.code != http.StatusOK {
-		t.Errorf("the first request: %+v", got)
+		t.Errorf("the first request: got %+v, want status 200", got)
 	}
 	if got := h.send(same); got.code != http.StatusOK {
-		t.Errorf("a request with the same id after the first was answered: %+v", got)
+		t.Errorf("a request with the same id after the first was answered: got %+v, want status 200", got)
 	}
 }
 
@@ -206,7 +206,7 @@
 	}
 	h.waitFor("the limit to be reached", func() bool { return h.server.Connections() == h.maxConnections })
 	if got := h.send(h.newRequest("read", "", 3*time.Second)); got.code != http.StatusOK {
-		t.Errorf("a request beyond the connection limit: %+v", got)
+		t.Errorf("a request beyond the connection limit: got %+v, want status 200", got)
 	}
 	if _, err := oldest.Read(make([]byte, 1)); err == nil {
 		t.Error("the longest idle connection still receives data")
@@ -218,7 +218,7 @@
 	}
 	close(answer)
 	if got := <-first; got.code != http.StatusOK {
-		t.Errorf("the request in flight: %+v", got)
+		t.Errorf("the request in flight: got %+v, want status 200", got)
 	}
 }
 
--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -202,7 +202,7 @@
 		t.Fatal(err)
 	}
 	if got, err := io.ReadAll(conn); len(got) > 0 {
-		t.Errorf("the client read %q (%v)", got, err)
+		t.Errorf("the client read %q (error %v), want nothing", got, err)
 	}
 }
 
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -22,7 +22,7 @@
 	h.waitFor("the waiting call", func() bool { return h.dir.CallCount() == 2 })
 	queries := h.dir.Queries()
 	if queries[0] != "after=0&wait_ms=0" || !strings.HasPrefix(queries[1], "after=0&wait_ms=3500") {
-		t.Errorf("queries %q", queries)
+		t.Errorf("discovery queries %q, want the second to wait for 3.5 s", queries)
 	}
 	// A change is received by the balancer, and the next call asks for newer versions.
 	second := newServingEndpoint(t)
@@ -62,7 +62,7 @@
 			// The open call is answered without a change; the calls after it fail.
 			h.waitFor("the failure and one more", func() bool { return h.spy.listCount(balancer.ListFailed) >= 2 })
 			if got := h.send(h.newRequest("pay", "x", 3*time.Second)); got.code != http.StatusOK {
-				t.Errorf("during the outage: %+v", got)
+				t.Errorf("a request during the outage: got %+v, want status 200", got)
 			}
 			h.dir.Change(func() {
 				h.dir.Down = false
@@ -75,7 +75,7 @@
 			})
 			h.waitFor("the new list", func() bool { return h.spy.listCount(balancer.ListFull) >= 1 })
 			if got := h.send(h.newRequest("pay", "x", 3*time.Second)); got.code != http.StatusOK {
-				t.Errorf("after the outage: %+v", got)
+				t.Errorf("a request after the outage: got %+v, want status 200", got)
 			}
 			if n := second.RequestCount(); n != 1 {
 				t.Errorf("the endpoint of the new list received %d requests, want 1", n)
@@ -152,14 +152,14 @@
 		return h.dir.OpenConns.Load() == 0
 	})
 	if got := h.send(h.newRequest("read", "", time.Minute)); got.code != http.StatusOK {
-		t.Errorf("a request to the new list's endpoint: %+v", got)
+		t.Errorf("a request to the new list's endpoint: got %+v, want status 200", got)
 	}
 	if n := second.RequestCount(); n != 1 {
 		t.Errorf("the endpoint of the new list received %d requests, want 1", n)
 	}
 	close(release)
 	if got := <-inFlight; got.code != http.StatusOK {
-		t.Errorf("the request in flight: %+v", got)
+		t.Errorf("the request in flight: got %+v, want status 200", got)
 	}
 }
 
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -259,7 +259,7 @@
 	h.run(listener, stopEngine)
 }
 
-// upstreamOptions returns the sidecar's options with the harness's control of dials.
+// upstreamOptions returns the sidecar's options, with the harness in control of dials.
 func (h *harness) upstreamOptions() httpupstream.Options {
 	options := upstreamOptions(h.cfg)
 	options.Dialer.Control = h.dialControl
--- a/internal/sidecar/rejection_test.go
+++ b/internal/sidecar/rejection_test.go
@@ -90,7 +90,7 @@
 	r.Header.Set("X-Weight-Hint", "90000")
 	r.Header.Set("X-Session-Key", "7f3a9c21e0b4d655")
 	if got := h.send(r); got.code != http.StatusOK {
-		t.Errorf("a valid request with a body of the maximum size: %+v", got)
+		t.Errorf("a valid request with a body of the maximum size: got %+v, want status 200", got)
 	}
 }
 
@@ -102,11 +102,11 @@
 	}, fakediscovery.Ready("s-1", endpoint.Address))
 	got := h.send(h.newRequest("pay", strings.Repeat("x", 21), 3*time.Second))
 	if got.code != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("a request beyond the body limit: %+v", got)
+		t.Errorf("a request beyond the body limit: got %+v, want status 503 with Retry-After", got)
 	}
 	for range 2 { // the first request releases the memory that it reserved
 		if got := h.send(h.newRequest("pay", strings.Repeat("x", 20), 3*time.Second)); got.code != http.StatusOK {
-			t.Errorf("a request within the body limit: %+v", got)
+			t.Errorf("a request within the body limit: got %+v, want status 200", got)
 		}
 	}
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -51,7 +51,7 @@
 	write(complete)
 	proceed <- time.Time{}
 	if next := <-out; next.Discovery != "127.0.0.1:7" {
-		t.Errorf("switched to %s", next.Discovery)
+		t.Errorf("switched to %s, want 127.0.0.1:7", next.Discovery)
 	}
 	if n := log.Count("configuration reload failed"); n != 1 {
 		t.Errorf("%d lines have the failure, want 1", n)
@@ -64,7 +64,7 @@
 	write(configText(t, "127.0.0.1:8"))
 	proceed <- time.Time{}
 	if next := <-out; next.Discovery != "127.0.0.1:8" {
-		t.Errorf("switched to %s", next.Discovery)
+		t.Errorf("switched to %s, want 127.0.0.1:8", next.Discovery)
 	}
 	// The file is never completed.
 	write(strings.Repeat("x", 10))
@@ -77,7 +77,7 @@
 	write(configText(t, "127.0.0.1:9"))
 	signals <- syscall.SIGHUP
 	if next := <-out; next.Discovery != "127.0.0.1:9" {
-		t.Errorf("switched to %s", next.Discovery)
+		t.Errorf("switched to %s, want 127.0.0.1:9", next.Discovery)
 	}
 	close(signals)
 	if next, open := <-out; open {
--- a/internal/sidecar/requests_test.go
+++ b/internal/sidecar/requests_test.go
@@ -23,7 +23,7 @@
 			body = ""
 		}
 		if got := h.send(h.newRequest(class, body, 3*time.Second)); got.code != http.StatusOK || got.body != "done" {
-			t.Errorf("%s: got %+v", class, got)
+			t.Errorf("class %s: got %+v, want status 200 and body done", class, got)
 		}
 	}
 	if requests, conns := endpoint.RequestCount(), endpoint.ConnCount(); requests != 4 || conns != 1 {
@@ -80,7 +80,7 @@
 					got.code, got.err, attempts, test.wantCode, test.wantAttempts)
 			}
 			if got.code == http.StatusOK && got.body != "done" {
-				t.Errorf("body %q", got.body)
+				t.Errorf("body %q, want done", got.body)
 			}
 		})
 	}
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -16,8 +16,8 @@
 
 const (
 	reservedSockets = 32 // for discovery, logs and the runtime
-	// Up to 1/6 of the sockets are client connections that are kept alive. Clients may use at most twice as many
-	// more for requests in flight.
+	// Client connections are kept alive after a response while they use up to 1/6 of the sockets. With those that
+	// have requests in flight, they use at most three times as many (see maxConnections).
 	keepAliveDivisor  = 6
 	bodyMemoryDivisor = 8 // request bodies may use 1/8 of the memory limit
 	bytesPerMB        = 1 << 20
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -81,7 +81,7 @@
 	h.waitFor("the new list", func() bool { return h.spy.listCount(balancer.ListFull) == 1 })
 	for range 5 {
 		if got := h.send(h.newRequest("order", "x", time.Minute)); got.code != http.StatusOK {
-			t.Errorf("during shutdown: %+v", got)
+			t.Errorf("a request during shutdown: got %+v, want status 200", got)
 		}
 	}
 	if n := first.RequestCount(); n != 0 || len(h.settledStatuses()) != before+5 {
@@ -141,7 +141,7 @@
 	})
 	close(answer)
 	if got := <-inFlight; got.code != http.StatusOK || got.body != "done" {
-		t.Errorf("the request in flight: %+v", got)
+		t.Errorf("the request in flight: got %+v, want status 200 and the endpoint's body", got)
 	}
 	h.waitForEnd()
 }
--- a/internal/upstream/attempt/attempt_test.go
+++ b/internal/upstream/attempt/attempt_test.go
@@ -29,7 +29,7 @@
 		"client disconnected by its socket alone":     {sendBounds{background, background, disconnectedBySocket}, ErrLate},
 	} {
 		if err := CheckBeforeWrite(context.WithValue(background, sendBoundsKey{}, c.bounds)); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 	}
 	if err := CheckBeforeWrite(background); err != nil {
--- a/internal/upstream/attempt/message_test.go
+++ b/internal/upstream/attempt/message_test.go
@@ -67,7 +67,7 @@
 		"cause of an UnsentError": {context.Background(), &UnsentError{ErrLate}, balancer.NotSent},
 	} {
 		if got := UnsentStatus(c.ctx, c.err); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: status %v, want %v", name, got, c.want)
 		}
 	}
 }
--- a/internal/upstream/byprotocol/byprotocol_test.go
+++ b/internal/upstream/byprotocol/byprotocol_test.go
@@ -37,7 +37,7 @@
 	go func() {
 		defer close(served)
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			t.Errorf("HTTP/1.1 server: %v", err)
+			t.Errorf("the HTTP/1.1 server ended with error %v", err)
 		}
 	}()
 	t.Cleanup(func() {
@@ -170,7 +170,7 @@
 		return http1Requests.Load() > before
 	})
 	if code := send(); code != http.StatusOK {
-		t.Errorf("after HTTP/3 was lost: status code %d", code)
+		t.Errorf("a request after HTTP/3 was lost: status code %d, want 200", code)
 	}
 }
 
--- a/internal/upstream/http3upstream/outcome_test.go
+++ b/internal/upstream/http3upstream/outcome_test.go
@@ -84,7 +84,7 @@
 		message.Header.Set("X-Correlation-Id", id)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		if r := f.upstream.attempt(ctx, e.target, message); r.Status != want {
-			t.Errorf("%s: %v, want %v", id, r.Status, want)
+			t.Errorf("%s: status %v, want %v", id, r.Status, want)
 		}
 		cancel()
 	}
--- a/internal/upstream/secure/handshake_test.go
+++ b/internal/upstream/secure/handshake_test.go
@@ -174,10 +174,10 @@
 	s := tlsbackend.Start(t, issue(f.root, ca.Spec{}))
 	s.SetClientCAs(f.root)
 	if _, err := f.handshakeTCP(target(s)); err != nil {
-		t.Errorf("HTTP/1.1: %v", err)
+		t.Errorf("HTTP/1.1 handshake failed: %v", err)
 	}
 	if _, err := f.handshakeQUIC(target(s)); err != nil {
-		t.Errorf("HTTP/3: %v", err)
+		t.Errorf("HTTP/3 handshake failed: %v", err)
 	}
 	s.SetClientCAs(ca.New(t, "other")) // in TLS 1.3 the client is notified at its first read
 	if _, err := f.handshakeTCP(&engine.Target{Name: "soko-3", Address: s.Address}); err == nil {
--- a/internal/upstream/secure/names.go
+++ b/internal/upstream/secure/names.go
@@ -36,8 +36,8 @@
 	if !strings.Contains(n.Pattern, namePlaceholder) {
 		return n.Pattern, nil
 	}
-	// Membership is untrusted input: a dot, a slash or an asterisk in a name would result in another
-	// name than the operator intended.
+	// Membership is untrusted input: with a dot, a slash or an asterisk, a server could change the name that is
+	// verified to one that the operator did not intend.
 	if !isLabel(server) {
 		return "", fmt.Errorf("server name %q is not a single host name label and cannot replace %s", server, namePlaceholder)
 	}
--- a/internal/upstream/secure/names_test.go
+++ b/internal/upstream/secure/names_test.go
@@ -22,12 +22,12 @@
 		strings.Repeat("a", 64): "",
 	} {
 		if got, err := n.CertificateName(server); got != want || (err == nil) != (want != "") {
-			t.Errorf("%q: %q, %v; want %q", server, got, err, want)
+			t.Errorf("server name %q: certificate name %q, error %v; want %q", server, got, err, want)
 		}
 	}
 	oneForAll := &Names{Pattern: "soko.example.org"}
 	if got, err := oneForAll.CertificateName("any.thing"); got != "soko.example.org" || err != nil {
-		t.Errorf("pattern without a placeholder: %q, %v", got, err)
+		t.Errorf("pattern without a placeholder: certificate name %q, error %v, want the pattern", got, err)
 	}
 	if _, err := (&Names{}).CertificateName("soko-3"); err == nil {
 		t.Error("no error for a server without a configured name")
@@ -71,7 +71,7 @@
 		wellFormed := strings.Count(got, ".") == 3 && strings.HasSuffix(got, ".soko.example.org") &&
 			!strings.ContainsAny(got, "*/ {}")
 		if !wellFormed || CheckName(got) != nil {
-			t.Errorf("server name %q results in %q", server, got)
+			t.Errorf("server name %q results in the invalid certificate name %q", server, got)
 		}
 	})
 }
--- a/internal/upstream/secure/sessions_model_test.go
+++ b/internal/upstream/secure/sessions_model_test.go
@@ -78,7 +78,7 @@
 	default:
 		m.sessions = append(m.sessions, session)
 		if !found || got != session.state {
-			m.t.Fatalf("found %t, the stored session: %t; want both", found, got == session.state)
+			m.t.Fatalf("session found: %t, same state as stored: %t; want true for both", found, got == session.state)
 		}
 	}
 }
--- a/internal/wire/decoder_test.go
+++ b/internal/wire/decoder_test.go
@@ -23,25 +23,25 @@
 	}
 	if len(events) != 5 || events[0].Instance != 3 || events[1].Request != want || events[2].Token != 77 ||
 		events[3].Instance != 5 || events[4].Outcome.ID != 0xbf5a10e6f2b19 {
-		t.Errorf("decoded %+v", events)
+		t.Errorf("decoded events %+v", events)
 	}
 	events = decodeAll(t, new(Decoder), frame(unhex(t, exHeaders, exAnswer, exHealth, exWhisper, exManifest, exMembers)))
 	if o := events[0].Outcome; o.ID != 0x5bf975d3a91c4 || o.Endpoint != 0x3124a07 || o.Latency != 0x2422 {
-		t.Errorf("headers %+v", o)
+		t.Errorf("decoded headers event %+v", o)
 	}
 	if o := events[1].Outcome; o.Status != balancer.OK || o.Latency != 0x4844 || !o.Settled || len(o.Load) != 0 {
-		t.Errorf("answer %+v", o)
+		t.Errorf("decoded answer event %+v", o)
 	}
 	if h := events[2]; h.Endpoint != 0x2c9011f2 || h.Latency != 1400 ||
 		len(h.Load) != 3 || h.Load[0] != 7 || h.Load[1] != 140 {
-		t.Errorf("health_result %+v", h)
+		t.Errorf("decoded health_result event %+v", h)
 	}
 	if w := events[3]; w.From != 2 || string(w.Data) != "hi 7" {
-		t.Errorf("whisper %+v", w)
+		t.Errorf("decoded whisper event %+v", w)
 	}
 	if m := events[5]; m.Kind != balancer.ListCached || len(m.Entries) != 2 || m.Entries[1].Weight != 1.5 ||
 		m.Entries[1].Zone != 1 || m.Entries[1].StartTime != 0x5d1420 {
-		t.Errorf("membership %+v", m)
+		t.Errorf("decoded membership event %+v", m)
 	}
 }
 
@@ -92,7 +92,7 @@
 		var malformed *FrameError
 		if !errors.As(err, &malformed) || malformed.Record != c.record ||
 			!strings.Contains(malformed.Reason, c.reason) || malformed.Offset < batchHeaderSize {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: error %v, want a *FrameError with reason %q", c.name, err, c.reason)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 		_, err := ReadFrame(bytes.NewReader(unhex(t, text)), nil)
 		var malformed *FrameError
 		if !errors.As(err, &malformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want a *FrameError", name, err)
 		}
 	}
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
--- a/internal/wire/helpers_test.go
+++ b/internal/wire/helpers_test.go
@@ -54,7 +54,7 @@
 func decodeAll(t *testing.T, decoder *Decoder, batch []byte) []Event {
 	t.Helper()
 	if _, now, err := decoder.Reset(batch); err != nil || now != testClock {
-		t.Fatalf("clock %d, error %v", now, err)
+		t.Fatalf("batch clock %d, error %v, want clock %d", now, err, testClock)
 	}
 	var events []Event
 	for {
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -49,14 +49,14 @@
 	}
 	fields := settings.Fields
 	if len(fields) != 3 || fields[0] != balancer.FieldInFlight || fields[2] != balancer.FieldOther {
-		t.Errorf("fields %v", fields)
+		t.Errorf("fields %v, want the three of goodSettings", fields)
 	}
 	if _, err := balancer.New(settings, 1, nil); err != nil {
 		t.Errorf("balancer.New rejects the parsed settings: %v", err)
 	}
 	settings, err = ParseSettings(strings.Replace(goodSettings, "how=probe", "how=none", 1))
 	if err != nil || settings.Fields != nil {
-		t.Errorf("without load reports: fields %v, error %v", settings.Fields, err)
+		t.Errorf("without load reports: fields %v, error %v, want neither", settings.Fields, err)
 	}
 }
 
@@ -91,6 +91,6 @@
 		t.Fatal(err)
 	}
 	if _, err = balancer.New(settings, 1, nil); err == nil || !strings.Contains(err.Error(), "DedupWindow=-1") {
-		t.Errorf("negative window: %v", err)
+		t.Errorf("negative window: error %v, want one that names DedupWindow=-1", err)
 	}
 }
