--- a/cmd/pinedale-simulate/agree.go
+++ b/cmd/pinedale-simulate/agree.go
@@ -53,7 +53,7 @@
 		return err
 	}
 	fmt.Fprintf(c.out, "%-18s %9s %9s %9s %12s %12s  %s\n",
-		"", "virtual", "sockets", "apart", "tries", "connections", "rules broken on sockets")
+		"", "virtual", "sockets", "apart", "tries", "connections", "violations on sockets")
 	disagreeing := 0
 	for _, comparison := range comparisons {
 		if comparison.socketsErr != nil {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// simulateOnBothHosts runs scenarios one after the other on virtual time, and then all at once on sockets.
+// simulateOnBothHosts runs the scenarios one after the other on virtual time, then all concurrently on sockets.
 func simulateOnBothHosts(ctx context.Context, files []*scenario.File, seed uint64) ([]*hostComparison, error) {
 	var comparisons []*hostComparison
 	for _, file := range files {
--- a/cmd/pinedale-simulate/commandline_test.go
+++ b/cmd/pinedale-simulate/commandline_test.go
@@ -56,17 +56,17 @@
 	}
 	for _, name := range []string{"page.html", "-page.html", "--", "trace", "-trace"} {
 		if found, err := filepath.Glob(name); err != nil || len(found) != 1 {
-			t.Errorf("the file %q is not written", name)
+			t.Errorf("file %q was not written", name)
 		}
 	}
 }
 
-// The exit code is not checked: the run is too short for the scores to agree.
-func TestAgreePlaysOnBothHosts(t *testing.T) {
+// The exit code is not checked: after so short a run, the scores may differ by more than agree tolerates.
+func TestAgreeRunsOnVirtualTimeAndSockets(t *testing.T) {
 	scenario := writeShortScenario(t, 500*time.Millisecond)
 	stdout, stderr, _ := execute("agree", "-seed", "4", scenario)
-	if !strings.Contains(stdout, "rules broken on sockets\ncalm ") {
-		t.Errorf("printed %s%s", stdout, stderr)
+	if !strings.Contains(stdout, "violations on sockets\ncalm ") {
+		t.Errorf("agree printed %s%s, want the header and the row of scenario calm", stdout, stderr)
 	}
 }
 
@@ -87,7 +87,7 @@
 
 func TestShellCompletionKnowsCommandsFlagsAndPolicies(t *testing.T) {
 	if text := mustExecute(t, "completion", "bash"); !strings.Contains(text, "__start_pinedale-simulate") {
-		t.Errorf("the completion script for bash is %s", text)
+		t.Errorf("completion bash printed %s, want a completion script for pinedale-simulate", text)
 	}
 	for _, c := range []struct{ args, want string }{
 		{"__complete re", "record\t"},
--- a/cmd/pinedale-simulate/compare.go
+++ b/cmd/pinedale-simulate/compare.go
@@ -64,7 +64,7 @@
 	value func(scenarioRun) float64
 }
 
-// metrics are the rows that compare prints.
+// metrics lists the metrics that compare prints, one row each.
 var metrics = []scoreMetric{
 	{"G", func(run scenarioRun) float64 {
 		return run.planned.Score(run.result)
@@ -98,7 +98,7 @@
 		fmt.Fprintln(c.out, compareMetric(metric, pairs))
 	}
 	first, second := countViolating(pairs)
-	fmt.Fprintf(c.out, "runs that broke a rule: %d and %d\n", first, second)
+	fmt.Fprintf(c.out, "runs with violations: %d and %d\n", first, second)
 	return nil
 }
 
@@ -132,7 +132,7 @@
 	return pairs, nil
 }
 
-// countViolating returns how many runs of each variant broke a rule.
+// countViolating returns how many runs of each variant have violations.
 func countViolating(pairs []runPair) (first, second int) {
 	for _, pair := range pairs {
 		if pair[0].result.Violations() != "" {
--- a/cmd/pinedale-simulate/demo.go
+++ b/cmd/pinedale-simulate/demo.go
@@ -123,8 +123,8 @@
 	length  time.Duration
 	failing model.Fault // of the first server
 
-	joined  bool          // whether the last server has been started
-	printed time.Duration // end of the last second that was printed
+	joined  bool          // the last server has been started
+	printed time.Duration // end of the last second whose counts were printed
 }
 
 // run sends requests at random times until the demo's end and returns when all have ended.
--- a/cmd/pinedale-simulate/demo_clients.go
+++ b/cmd/pinedale-simulate/demo_clients.go
@@ -55,7 +55,7 @@
 	total  plan.Second // of the whole demo
 }
 
-// newDemoClients returns clients of an instance.
+// newDemoClients returns clients that send their requests to one instance.
 func newDemoClients(url string) *demoClients {
 	return &demoClients{
 		url: url,
--- a/cmd/pinedale-simulate/demo_fleet.go
+++ b/cmd/pinedale-simulate/demo_fleet.go
@@ -21,7 +21,7 @@
 	demoDedupWindow = 1500 * time.Millisecond // the same as in demoConfig
 )
 
-// demoFleet is the demo's servers and the discovery that lists them.
+// demoFleet holds the demo's servers and the discovery service that lists them.
 type demoFleet struct {
 	directory *fakediscovery.Directory
 	emulated  *sockets.Fleet
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// demoMachine returns the model of a server whose cores have this speed.
+// demoMachine returns the model configuration of a server with the given core speed.
 func demoMachine(speed float64) model.Config {
 	return model.Config{
 		Cores:            3,
--- a/cmd/pinedale-simulate/main_test.go
+++ b/cmd/pinedale-simulate/main_test.go
@@ -59,7 +59,7 @@
 	page := filepath.Join(t.TempDir(), "report.html")
 	text := mustExecute(t, "run", "-html", page, calmScenario)
 	if !strings.Contains(text, "no violations") || !strings.Contains(text, "stall-pay") {
-		t.Errorf("printed %s", text)
+		t.Errorf("run printed %s, want no violations and a row for class stall-pay", text)
 	}
 	if data, err := os.ReadFile(page); err != nil || !bytes.Contains(data, []byte("<svg")) {
 		t.Errorf("the HTML report has no plot, or reading it failed: %v", err)
@@ -69,14 +69,14 @@
 func TestCompareFindsNoDifferenceOfScenarioFromItself(t *testing.T) {
 	text := mustExecute(t, "compare", "-seeds", "3", calmScenario, calmScenario)
 	if strings.Count(text, "within the noise") != 4 {
-		t.Errorf("a scenario against itself: %s", text)
+		t.Errorf("comparing a scenario with itself printed %s, want 4 metrics within the noise", text)
 	}
 }
 
 func TestCompareFindsDifferenceOfModuleFromRandomChoice(t *testing.T) {
 	text := mustExecute(t, "compare", "-seeds", "3", "-against", "random", failingFastScenario)
 	if !strings.Contains(text, "a difference") {
-		t.Errorf("the module and random choice: %s", text)
+		t.Errorf("comparing the module with random choice printed %s, want a difference", text)
 	}
 }
 
@@ -127,7 +127,7 @@
 		t.Error("two recordings of the same scenario and seed differ")
 	}
 	if text := mustExecute(t, "replay", first); !strings.Contains(text, "are the same") {
-		t.Errorf("printed %s", text)
+		t.Errorf("replay printed %s, want all events to be the same", text)
 	}
 }
 
@@ -163,27 +163,27 @@
 	scenario, recorded := writeShortScenario(t, 1500*time.Millisecond), filepath.Join(t.TempDir(), "trace")
 	mustExecute(t, "record", "-sockets", "-out", recorded, scenario)
 	if text := mustExecute(t, "replay", recorded); !strings.Contains(text, "answered 200") {
-		t.Errorf("printed %s", text)
+		t.Errorf("replay printed %s, want counts of responses with status 200", text)
 	}
 }
 
 func TestRunOnSocketsTakesAsLongAsTheScenario(t *testing.T) {
 	scenario := writeShortScenario(t, 1500*time.Millisecond)
 	if text := mustExecute(t, "run", "-sockets", scenario); !strings.Contains(text, "sockets: simulated 1.5s in ") {
-		t.Errorf("printed %s", text)
+		t.Errorf("run printed %s, want a simulated time of 1.5 s on sockets", text)
 	}
 }
 
 func TestRankPrintsEachPolicy(t *testing.T) {
 	scenario := writeShortScenario(t, 1500*time.Millisecond)
 	if text := mustExecute(t, "rank", "-seeds", "2", scenario); strings.Count(text, "broken") != 4 {
-		t.Errorf("printed %s", text)
+		t.Errorf("rank printed %s, want results of 4 policies", text)
 	}
 }
 
 func TestDemoEndsByItselfWithSummaryAndBreaksNoRule(t *testing.T) {
 	text := mustExecute(t, "demo", "-length", "2s")
 	if !strings.Contains(text, "total: asked") || !strings.Contains(text, "duplicate effects 0") {
-		t.Errorf("printed %s", text)
+		t.Errorf("demo printed %s, want a summary without duplicate effects", text)
 	}
 }
--- a/cmd/pinedale-simulate/play.go
+++ b/cmd/pinedale-simulate/play.go
@@ -46,11 +46,11 @@
 type simulateOptions struct {
 	host     string            // trace.Virtual or trace.Sockets
 	policy   string            // one of baselines.Names
-	watch    func(trace.Event) // called with each event of the trace; may be nil
+	onEvent  func(trace.Event) // called with each event of the trace; may be nil
 	progress progressFunc      // may be nil
 }
 
-// hostName returns the host that the flag -sockets selects.
+// hostName returns the trace.Header.Host of a run: loopback sockets with the flag -sockets, virtual time without it.
 func hostName(onSockets bool) string {
 	if onSockets {
 		return trace.Sockets
@@ -71,13 +71,13 @@
 	if options.host == trace.Sockets {
 		return realtime.Run(ctx, planned, realtime.Options{
 			NewDecider: newDecider,
-			OnEvent:    options.watch,
+			OnEvent:    options.onEvent,
 			OnProgress: progress,
 		})
 	}
 	return simulation.Run(planned, simulation.Options{
 		NewDecider: newDecider,
-		OnEvent:    options.watch,
+		OnEvent:    options.onEvent,
 		OnProgress: progress,
 	})
 }
@@ -87,10 +87,10 @@
 	return simulate(ctx, planned, simulateOptions{host: trace.Virtual, policy: policy})
 }
 
-// checkRules returns an error if a run broke a rule.
-func checkRules(result *plan.Result) error {
+// checkViolations returns an error that lists the violations of a run, if it has any.
+func checkViolations(result *plan.Result) error {
 	if violations := result.Violations(); violations != "" {
-		return errors.New("the run broke a rule: " + violations)
+		return errors.New("the run has violations: " + violations)
 	}
 	return nil
 }
--- a/cmd/pinedale-simulate/progress.go
+++ b/cmd/pinedale-simulate/progress.go
@@ -12,8 +12,8 @@
 // progressFunc reports how much of a run is done.
 type progressFunc func(done, total time.Duration)
 
-// terminalProgress returns a function that writes progress to a terminal in one line, which it clears at the end. It
-// writes nothing to any other file.
+// terminalProgress returns a function that shows progress on one line of a terminal and clears the line at the end. If
+// out is not a terminal, the function does nothing.
 func terminalProgress(out *os.File) progressFunc {
 	if info, err := out.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return func(_, _ time.Duration) {}
--- a/cmd/pinedale-simulate/rank.go
+++ b/cmd/pinedale-simulate/rank.go
@@ -28,7 +28,7 @@
 	return rank
 }
 
-// rank prints for each scenario and policy the mean of G over the seeds, and the number of runs that broke a rule.
+// rank prints for each scenario and policy the mean of G over the seeds, and the number of runs with violations.
 func (c *commandLine) rank(ctx context.Context, paths []string, seeds int) error {
 	fmt.Fprintf(c.out, "%-18s", fmt.Sprintf("G over %d seeds", seeds))
 	for _, policy := range baselines.Names() {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// meanScore returns the mean of G of a scenario over the seeds, and the number of runs that broke a rule.
+// meanScore returns the mean of G of a scenario over the seeds, and the number of runs with violations.
 func meanScore(
 	ctx context.Context, file *scenario.File, policy string, seeds int,
 ) (mean float64, violating int, err error) {
--- a/cmd/pinedale-simulate/record.go
+++ b/cmd/pinedale-simulate/record.go
@@ -41,7 +41,7 @@
 	return record
 }
 
-// record runs a scenario and writes its trace. It returns an error if the run broke a rule.
+// record runs a scenario and writes its trace. It returns an error if the run has violations.
 func (c *commandLine) record(ctx context.Context, path string, options recordOptions) error {
 	file, text, err := loadScenario(path)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	fmt.Fprintf(c.out, "%s, seed %d, %s: %d events, G %.3f\n",
 		file.Name, planned.Seed, options.policy, events, planned.Score(result))
-	return checkRules(result)
+	return checkViolations(result)
 }
 
 // recordTrace runs a scenario with the host and policy of the header and writes its trace. It returns the result and
@@ -77,7 +77,7 @@
 	result, err = simulate(ctx, planned, simulateOptions{
 		host:   header.Host,
 		policy: header.Policy,
-		watch: func(event trace.Event) {
+		onEvent: func(event trace.Event) {
 			events++
 			writer.Write(event)
 		},
--- a/cmd/pinedale-simulate/replay.go
+++ b/cmd/pinedale-simulate/replay.go
@@ -35,7 +35,8 @@
 	planned *plan.Scenario
 }
 
-// replay runs the scenario of a trace again and compares both runs.
+// replay runs the scenario of a trace again and compares the events of both runs, or their counts if the trace was
+// recorded on sockets.
 func (c *commandLine) replay(ctx context.Context, path string) error {
 	in, err := os.Open(path)
 	if err != nil {
@@ -72,12 +73,12 @@
 
 // simulate runs the scenario on virtual time with the policy of the trace.
 func (r *recording) simulate(
-	ctx context.Context, watch func(trace.Event), progress progressFunc,
+	ctx context.Context, onEvent func(trace.Event), progress progressFunc,
 ) (*plan.Result, error) {
 	return simulate(ctx, r.planned, simulateOptions{
 		host:     trace.Virtual,
 		policy:   r.reader.Header.Policy,
-		watch:    watch,
+		onEvent:  onEvent,
 		progress: progress,
 	})
 }
@@ -90,7 +91,7 @@
 // compareEvents runs the scenario of a trace again and compares both runs event by event.
 func (c *commandLine) compareEvents(ctx context.Context, recorded *recording) error {
 	comparison := &eventComparison{recorded: recorded.reader, out: c.out}
-	result, err := recorded.simulate(ctx, comparison.watch, c.progress)
+	result, err := recorded.simulate(ctx, comparison.compareNext, c.progress)
 	if err == nil {
 		err = comparison.finish()
 	}
@@ -105,18 +106,19 @@
 	return nil
 }
 
-// eventComparison compares the events of a run with those of a trace, up to the first that differs, which it prints.
+// eventComparison compares the events of a run with those of a trace. It prints the first difference and ignores all
+// later events.
 type eventComparison struct {
 	recorded *trace.Reader
 	out      io.Writer
 
-	equal   int   // events that are equal
-	differs bool  // a different event was found
-	err     error // of reading the trace
+	equal   int   // number of equal events
+	differs bool  // a difference was found
+	err     error // the error that reading the trace returned
 }
 
-// watch compares the next event of the run.
-func (c *eventComparison) watch(event trace.Event) {
+// compareNext compares the next event of the run with the next event of the trace.
+func (c *eventComparison) compareNext(event trace.Event) {
 	if c.differs || c.err != nil {
 		return
 	}
@@ -152,8 +154,8 @@
 	return nil
 }
 
-// compareEventCounts runs the scenario of a trace from sockets on virtual time and prints the event counts of both. The
-// events themselves cannot be compared, since the trace was recorded in real time.
+// compareEventCounts takes a trace that was recorded on sockets, runs its scenario on virtual time and prints the event
+// counts of both runs. The events themselves cannot be compared, since the trace was recorded in real time.
 func (c *commandLine) compareEventCounts(ctx context.Context, recorded *recording) error {
 	sockets, err := countRecorded(recorded.reader)
 	if err != nil {
--- a/cmd/pinedale-simulate/root.go
+++ b/cmd/pinedale-simulate/root.go
@@ -11,13 +11,13 @@
 	"pinedale/internal/emulator/baselines"
 )
 
-// description is printed by help. The names of the policies follow it.
+// description is printed by help, followed by the names of the policies.
 const description = `Run scenarios of load and faults: the real engine and decision module against emulated servers, on
 virtual time or on loopback sockets.
 
 Policies: `
 
-// usage ends the error of an invalid command line. The names of the policies follow it.
+// usage is printed after the error message for an invalid command line, followed by the names of the policies.
 const usage = `usage: pinedale-simulate demo [-length 12s]
        pinedale-simulate run [-seed N] [-policy NAME] [-sockets] [-html FILE] SCENARIO
        pinedale-simulate compare [-seeds N] [-policy NAME] [-against NAME] SCENARIO [SCENARIO]
@@ -44,7 +44,7 @@
 	maxSeeds     = 10_000 // of compare and rank
 )
 
-// commandLine builds the commands. All of them print to out and report their progress.
+// commandLine builds the commands and holds what they share: the output and the progress display.
 type commandLine struct {
 	out      io.Writer
 	progress progressFunc
@@ -72,7 +72,7 @@
 	return root
 }
 
-// usageError returns the error of an invalid command line.
+// usageError returns the error for an invalid command line, with the usage text.
 func usageError() error {
 	return errors.New("invalid command line\n" + usage + policyNames())
 }
@@ -82,7 +82,7 @@
 	return strings.Join(baselines.Names(), ", ")
 }
 
-// withUsageError returns a check of the arguments that fails with usageError in place of check's error.
+// withUsageError wraps a check of the positional arguments so that it fails with usageError.
 func withUsageError(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if check(cmd, args) != nil {
--- a/cmd/pinedale-simulate/run.go
+++ b/cmd/pinedale-simulate/run.go
@@ -37,7 +37,7 @@
 	return run
 }
 
-// run runs a scenario and prints its result. It returns an error if the run broke a rule.
+// run runs a scenario and prints its result. It returns an error if the run has violations.
 func (c *commandLine) run(ctx context.Context, path string, options runOptions) error {
 	file, _, err := loadScenario(path)
 	if err != nil {
@@ -60,5 +60,5 @@
 			return err
 		}
 	}
-	return checkRules(result)
+	return checkViolations(result)
 }
--- a/internal/emulator/baselines/baselines.go
+++ b/internal/emulator/baselines/baselines.go
@@ -1,6 +1,6 @@
 // Package baselines provides load balancing policies that a user could choose in place of the decision module: random
-// choice, the less loaded of two endpoints, and weighted round robin. Simulations compare the module with them. The
-// policies choose endpoints; all of them retry by the rule that is common among proxies.
+// choice, the less loaded of two random endpoints, and weighted round robin. Simulations compare the module with them.
+// The policies differ only in how they choose an endpoint. All of them retry as common proxies do.
 package baselines
 
 import (
@@ -20,7 +20,7 @@
 // NewDecider creates the decider of an engine.
 type NewDecider = func(balancer.Settings, uint64, balancer.Actions) (engine.Decider, error)
 
-// picker chooses one of the ready endpoints of a decider. There is at least one.
+// picker chooses one of the ready endpoints of a decider. It is called only if at least one endpoint is ready.
 type picker interface{ pick(d *decider) uint32 }
 
 // newPickers creates the picker of each policy. weights holds the weight of each machine kind.
@@ -59,7 +59,7 @@
 	}, nil
 }
 
-// seedStream is the stream of the random numbers of pickers, derived from the seed.
+// seedStream selects the random number stream that the pickers derive from the seed.
 const seedStream = 5
 
 func newDecider(settings balancer.Settings, seed uint64, actions balancer.Actions, p picker) *decider {
--- a/internal/emulator/baselines/baselines_test.go
+++ b/internal/emulator/baselines/baselines_test.go
@@ -83,10 +83,10 @@
 			d.HandleRequest(0, balancer.Request{ID: 1, Class: test.class, Deadline: deadline})
 			d.AttemptCompleted(test.now, balancer.Outcome{ID: 1, Status: test.status})
 			if len(actions.sent) != test.wantAttempts {
-				t.Errorf("%d attempts, want %d", len(actions.sent), test.wantAttempts)
+				t.Errorf("%d attempts sent, want %d", len(actions.sent), test.wantAttempts)
 			}
 			if actions.failed != test.wantFailed || actions.rejected != test.wantRejected {
-				t.Errorf("failed %d, rejected %d, want %d and %d",
+				t.Errorf("%d requests failed and %d rejected, want %d and %d",
 					actions.failed, actions.rejected, test.wantFailed, test.wantRejected)
 			}
 		})
@@ -119,7 +119,7 @@
 		}
 	}
 	if len(actions.sent) != 10 {
-		t.Errorf("%d attempts, want 10", len(actions.sent))
+		t.Errorf("%d attempts sent, want 10", len(actions.sent))
 	}
 }
 
--- a/internal/emulator/baselines/decider.go
+++ b/internal/emulator/baselines/decider.go
@@ -68,7 +68,7 @@
 	d.send(r)
 }
 
-// send starts an attempt. A retry picks a second time if the first pick is the endpoint of the previous attempt.
+// send starts an attempt. If a retry picks the endpoint of the previous attempt, it picks once more.
 func (d *decider) send(r *request) {
 	if len(d.ready) == 0 {
 		d.finish(r)
@@ -140,7 +140,7 @@
 	}
 }
 
-// ClientDisconnected cancels the attempt in flight. Its outcome ends the request.
+// ClientDisconnected cancels the attempt in flight. The request ends when the outcome of that attempt arrives.
 func (d *decider) ClientDisconnected(_ balancer.Micros, id uint64) {
 	if r := d.requests[id]; r != nil {
 		r.disconnected = true
--- a/internal/emulator/baselines/picker.go
+++ b/internal/emulator/baselines/picker.go
@@ -5,7 +5,7 @@
 
 func (random) pick(d *decider) uint32 { return d.ready[d.rng.IntN(len(d.ready))] }
 
-// leastRequest picks the one with fewer attempts in flight of two random endpoints (Mitzenmacher, "The Power of
+// leastRequest draws two random endpoints and picks the one with fewer attempts in flight (Mitzenmacher, "The Power of
 // Two Choices in Randomized Load Balancing", 2001).
 type leastRequest struct{}
 
--- a/internal/emulator/model/advance.go
+++ b/internal/emulator/model/advance.go
@@ -38,7 +38,7 @@
 	for _, job := range s.running {
 		shortest = min(shortest, job.remaining)
 	}
-	roundedUp := math.Ceil(shortest / rate * float64(time.Second)) // so that the work is done by then
+	roundedUp := math.Ceil(shortest / rate * float64(time.Second)) // at an earlier event, the work would be unfinished
 	next := min(s.now+time.Duration(roundedUp), s.nextPause)
 	if s.warming && s.Warmth(s.now) < 1 {
 		next = min(next, s.now+warmingStep)
--- a/internal/emulator/model/dedup_test.go
+++ b/internal/emulator/model/dedup_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if keys := store.DuplicateEffects(); !slices.Equal(keys, []string{"a", "b", "c"}) {
-		t.Errorf("duplicate effects %v, want a, b and c", keys)
+		t.Errorf("keys with duplicate effects %v, want a, b and c", keys)
 	}
 }
 
@@ -48,6 +48,6 @@
 		}
 	}
 	if keys := store.DuplicateEffects(); len(keys) != 0 {
-		t.Errorf("duplicate effects %v, want none", keys)
+		t.Errorf("keys with duplicate effects %v, want none", keys)
 	}
 }
--- a/internal/emulator/model/fault_test.go
+++ b/internal/emulator/model/fault_test.go
@@ -33,12 +33,12 @@
 					want = Deduplicated
 				}
 				if got := countOutcomes(completed); got[want] != 1 || len(completed) != 1 {
-					t.Errorf("request %d: outcomes %v, want one %d", number, got, want)
+					t.Errorf("request %d: counts by outcome %v, want one with outcome %d", number, got, want)
 				}
 			}
 			ran, dropped := s.dedup.Counts()
 			if (ran == 1) != test.wantRun || (dropped == 1) != test.wantRun {
-				t.Errorf("ran %d, dropped %d, want the request to have run: %v", ran, dropped, test.wantRun)
+				t.Errorf("%d requests ran and %d were dropped as duplicates, want one of each: %v", ran, dropped, test.wantRun)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 	wants := map[Outcome]int{Failed: 1000, ConnectionFailed: 2000, Unanswered: 3000, Served: 4000}
 	for outcome, want := range wants {
 		if math.Abs(float64(counts[outcome]-want)) > 200 {
-			t.Errorf("outcomes %v, want about %d of outcome %d", counts, want, outcome)
+			t.Errorf("counts by outcome %v, want about %d of outcome %d", counts, want, outcome)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 	completed = append(completed, s.Advance(20*time.Second)...)
 	counts := countOutcomes(completed)
 	if counts[Failed] < 550 || counts[Failed] > 650 || counts[Served]+counts[Failed] != 1000 {
-		t.Errorf("outcomes %v, want about 600 failures and the rest of 1000 served", counts)
+		t.Errorf("counts by outcome %v, want about 600 of 1000 requests failed and the rest served", counts)
 	}
 }
 
@@ -99,7 +99,7 @@
 	for _, at := range []Time{0, 3 * time.Second} {
 		completed := arriveAndAdvance(s, at, Request{Number: 1, Work: ms}, at+time.Second)
 		if got := countOutcomes(completed); got[Served] != 1 {
-			t.Errorf("at %v: outcomes %v, want one served", at, got)
+			t.Errorf("at %v: counts by outcome %v, want one served request", at, got)
 		}
 	}
 }
@@ -108,10 +108,10 @@
 	s := newTestServer(smallMachine(), false, Fault{Until: time.Minute, UnansweredRatio: 1})
 	request := Request{Number: 1, Work: ms, Class: notIdempotentClass, Key: "k"}
 	if got := countOutcomes(arriveAndAdvance(s, 0, request, time.Second)); got[Unanswered] != 1 {
-		t.Errorf("outcomes %v, want one unanswered", got)
+		t.Errorf("counts by outcome %v, want one unanswered request", got)
 	}
 	if s.dedup.EffectCounts()["k"] != 1 {
-		t.Errorf("%d runs of an unanswered request, want 1", s.dedup.EffectCounts()["k"])
+		t.Errorf("an unanswered request ran %d times, want 1", s.dedup.EffectCounts()["k"])
 	}
 }
 
@@ -139,6 +139,6 @@
 		completed = append(completed, s.Advance(now)...)
 	}
 	if len(completed) != 1 || math.Abs((completed[0].At-6*time.Second).Seconds()) > 1e-6 {
-		t.Errorf("completed %v, want one at 6 s", completed)
+		t.Errorf("completions %v, want one at 6 s", completed)
 	}
 }
--- a/internal/emulator/model/keycache_test.go
+++ b/internal/emulator/model/keycache_test.go
@@ -65,7 +65,7 @@
 		s.Arrive(now, Request{Number: uint64(i + 1), Work: full, AffinityKey: test.key})
 		completed := s.Advance(now + time.Second)
 		if len(completed) != 1 || math.Abs((completed[0].At-now-test.want).Seconds()) > 1e-6 {
-			t.Errorf("request %d with key %d completed %v, want after %v", i, test.key, completed, test.want)
+			t.Errorf("request %d with key %d: completions %v, want one after %v", i, test.key, completed, test.want)
 		}
 		now += time.Second
 	}
--- a/internal/emulator/model/overload_test.go
+++ b/internal/emulator/model/overload_test.go
@@ -39,7 +39,7 @@
 			}
 			later := countOutcomes(s.Arrive(time.Hour, Request{Number: 9999, Work: ms}))
 			if later[ConnectionFailed] != 1 {
-				t.Errorf("outcomes %v an hour later, want a failed connection: the server must stay down", later)
+				t.Errorf("counts by outcome %v an hour later, want one failed connection: the server stays down", later)
 			}
 			collapsedAt := s.CollapsedAt()
 			if collapsedAt < test.start+900*ms || collapsedAt > test.start+time.Second {
--- a/internal/emulator/model/properties_test.go
+++ b/internal/emulator/model/properties_test.go
@@ -115,11 +115,11 @@
 		steps, end := drawSteps(t)
 		first := runSteps(options, steps, end)
 		if len(first.ended) != first.requested {
-			t.Fatalf("%d requests were sent, %d ended", first.requested, len(first.ended))
+			t.Fatalf("%d requests arrived, but %d ended", first.requested, len(first.ended))
 		}
 		for number, times := range first.ended {
 			if times != 1 {
-				t.Fatalf("request %d ended %d times", number, times)
+				t.Fatalf("request %d ended %d times, want once", number, times)
 			}
 		}
 		if second := runSteps(options, steps, end); !slices.Equal(first.log, second.log) {
@@ -175,7 +175,7 @@
 			complete(s.Advance(at + time.Hour))
 			got, want := waited/float64(completed), erlangWait(test.cores, test.utilization, meanService)
 			if completed != requests || math.Abs(got/want-1) > 0.02 {
-				t.Errorf("%d completed, mean wait %.4f ms, want %.4f within 2%%",
+				t.Errorf("%d requests completed with a mean wait of %.4f ms, want %.4f ms within 2%%",
 					completed, got*1e3, want*1e3)
 			}
 			t.Logf("mean wait %.4f ms, Erlang %.4f ms", got*1e3, want*1e3)
--- a/internal/emulator/model/report.go
+++ b/internal/emulator/model/report.go
@@ -42,7 +42,7 @@
 	return LoadReport{}
 }
 
-// withNoise returns the report with a random relative error.
+// withNoise multiplies the values of a report by a random factor around 1.
 func (s *Server) withNoise(load LoadReport) LoadReport {
 	s.noiseDraws++
 	factor := 1 + s.config.ReportNoise*(2*s.draw(s.noiseDraws, purposeNoise)-1)
--- a/internal/emulator/model/server.go
+++ b/internal/emulator/model/server.go
@@ -51,7 +51,7 @@
 type job struct {
 	Request
 	remaining float64 // work, in seconds of a core of speed 1
-	outcome   Outcome // once the work is done
+	outcome   Outcome // reported when the work is done
 }
 
 // New returns a server that starts at o.Start.
--- a/internal/emulator/model/server_test.go
+++ b/internal/emulator/model/server_test.go
@@ -99,7 +99,7 @@
 			completed = append(completed, s.Advance(10*time.Second)...)
 			counts := countOutcomes(completed)
 			if counts[Served] != test.wantServed || counts[Rejected] != test.wantRejected {
-				t.Errorf("outcomes %v, want %d served and %d rejected",
+				t.Errorf("counts by outcome %v, want %d served and %d rejected",
 					counts, test.wantServed, test.wantRejected)
 			}
 			if last := completed[len(completed)-1].At; last < test.wantLast || last > test.wantLast+ms {
@@ -115,7 +115,7 @@
 	s := newTestServer(config, false)
 	s.Arrive(0, Request{Number: 1, Work: 10 * time.Second})
 	if end := s.Advance(time.Hour)[0].At; end < 13*time.Second || end > 18*time.Second {
-		t.Errorf("10 s of work took %v, want about 15 s", end)
+		t.Errorf("10 s of work took %v with pauses, want about 15 s", end)
 	}
 }
 
@@ -125,7 +125,7 @@
 	s := newTestServer(config, false)
 	s.Arrive(time.Hour, Request{Number: 2, Work: time.Second})
 	if got := countOutcomes(s.Stop(time.Hour + ms)); got[ConnectionFailed] != 1 || !s.Down() {
-		t.Errorf("outcomes %v, down %v, want one failed connection and a server that is down", got, s.Down())
+		t.Errorf("counts by outcome %v, down %v, want one failed connection and a server that is down", got, s.Down())
 	}
 }
 
@@ -148,7 +148,7 @@
 	s.Advance(5 * time.Second)
 	idle := newTestServer(smallMachine(), true)
 	if got, want := s.Warmth(5*time.Second), idle.Warmth(5*time.Second); got <= want {
-		t.Errorf("warmth %v after 5 s of work, %v without work", got, want)
+		t.Errorf("warmth %v after 5 s of work, want more than the %v without work", got, want)
 	}
 }
 
--- a/internal/emulator/plan/fault.go
+++ b/internal/emulator/plan/fault.go
@@ -29,7 +29,7 @@
 // its duration.
 type Rotation struct{ From, Until Time }
 
-// ReplaceAt returns when a connection is replaced, Never if it was opened after the start of the rotation.
+// ReplaceAt returns when a connection is replaced, or Never if it was opened after the start of the rotation.
 // spreadPosition is the connection's position within the rotation, from 0 at its start to 1 at its end.
 func (r *Rotation) ReplaceAt(opened Time, spreadPosition float64) Time {
 	if opened >= r.From {
--- a/internal/emulator/plan/plan_test.go
+++ b/internal/emulator/plan/plan_test.go
@@ -93,7 +93,7 @@
 	mean := sum / reads
 	cv := math.Sqrt(sumOfSquares/reads-mean*mean) / mean
 	if math.Abs(mean-0.1) > 0.005 || math.Abs(cv-0.5) > 0.05 || math.Abs(reads-1500) > 120 {
-		t.Errorf("%v reads of mean work %v with coefficient of variation %v, want about 1500, 0.1 and 0.5",
+		t.Errorf("%v reads with mean work %v s and coefficient of variation %v, want about 1500, 0.1 s and 0.5",
 			reads, mean, cv)
 	}
 }
@@ -105,7 +105,7 @@
 	work, hint := request.Work.Microseconds(), request.WorkHint
 	hintNearWork := float64(hint) >= float64(work)/2-1 && hint <= 2*work
 	if (request.Key != "") != wantKey || request.Instance > 2 || !hintNearWork {
-		t.Fatalf("invalid request %+v", request)
+		t.Fatalf("request %+v, want a key unless it is a read, an instance of 0 to 2, a hint near the work", request)
 	}
 }
 
@@ -120,7 +120,7 @@
 	for half, wants := range [2][2]float64{{2250, 750}, {2250, 3000}} {
 		for tenant, want := range wants {
 			if got := counts[half][tenant]; math.Abs(got-want) > 5*math.Sqrt(want) {
-				t.Errorf("half %d, tenant %d: %v requests, want about %v", half, tenant, got, want)
+				t.Errorf("half %d of the run, tenant %d: %v requests, want about %v", half, tenant, got, want)
 			}
 		}
 	}
@@ -180,11 +180,11 @@
 	}
 	want := Tally{Requested: 60, InTime: 49, Late: 5, Rejected: 5, Failed: 1}
 	if got := r.Classes[readClass]; got != want {
-		t.Errorf("tally %+v, want %+v", got, want)
+		t.Errorf("tally of class read %+v, want %+v", got, want)
 	}
 	overall, worstWindow := (49+2.5)/60, 0.5
 	if got := s.WorstWindow(r); math.Abs(got-worstWindow) > 1e-9 {
-		t.Errorf("worst window %v, want %v", got, worstWindow)
+		t.Errorf("ratio in time in the worst window %v, want %v", got, worstWindow)
 	}
 	if got, want := s.Score(r), 0.45*overall+0.35*worstWindow+0.2*overall; math.Abs(got-want) > 1e-9 {
 		t.Errorf("score %v, want %v", got, want)
--- a/internal/emulator/plan/retry.go
+++ b/internal/emulator/plan/retry.go
@@ -16,9 +16,9 @@
 	return time.Duration(timeout) * time.Microsecond
 }
 
-// Retry returns whether a client retries after a response, and how long it waits before. It does not retry a success,
-// beyond its number of retries, after its class's timeout, or a request that may have run unless a second run is
-// harmless.
+// Retry returns whether a client retries after a response, and how long it waits before the retry. It does not retry
+// after a success, after its last permitted retry, or if the retry would start after the class's timeout. It retries a
+// request that may have run only if a second run is harmless.
 func (s *Scenario) Retry(
 	request *Request, code int, retryAfter time.Duration, now Time,
 ) (wait time.Duration, retry bool) {
--- a/internal/emulator/plan/workload.go
+++ b/internal/emulator/plan/workload.go
@@ -42,8 +42,8 @@
 	affinityStream = 2 // separate, so that drawing affinity keys does not change the other draws
 )
 
-// Workload generates the requests of a scenario in order. It depends on the scenario alone: runs with the same seed, on
-// virtual time or on sockets, get the same requests.
+// Workload generates the requests of a scenario in order. It depends on the scenario alone: all runs with the same
+// seed get the same requests, on virtual time as on sockets.
 type Workload struct {
 	scenario *Scenario
 	now      Time
@@ -55,7 +55,7 @@
 	instanceWeights []float64 // cumulative weights of the instances; nil before the first draw
 }
 
-// Workload returns the scenario's workload from its start.
+// Workload returns a new generator of the scenario's requests, at the start of the run.
 func (s *Scenario) Workload() *Workload {
 	w := &Workload{
 		scenario:    s,
@@ -70,8 +70,8 @@
 	return w
 }
 
-// Next returns the next request, or false at the end of the run. The rate is the one at the time of the previous
-// request, so a surge takes effect one request late.
+// Next returns the next request, or false at the end of the run. The time between two requests is drawn with the rate
+// at the first of them, so a surge takes effect one request late.
 func (w *Workload) Next() (*Request, bool) {
 	s := w.scenario
 	rates, total := s.rates(w.now)
--- a/internal/emulator/realtime/client.go
+++ b/internal/emulator/realtime/client.go
@@ -16,9 +16,9 @@
 	"pinedale/internal/emulator/trace"
 )
 
-// answerSlack is how long after the client's timeout a response still counts as sent in time. Instances respond by the
-// timeout, but scheduling and loopback delays of the machine add to it.
-const answerSlack = 250 * time.Millisecond
+// lateResponseTolerance is how long after its timeout a client still waits for the response. Instances respond by the
+// timeout, but scheduling and loopback delays of the machine can make the response arrive later.
+const lateResponseTolerance = 250 * time.Millisecond
 
 // Headers of client requests.
 const (
@@ -117,7 +117,7 @@
 // send sends a client attempt to its instance and waits for the response.
 func (r *runner) send(ctx context.Context, request *plan.Request, id string) response {
 	timeout := r.scenario.AttemptTimeout(request)
-	wait := timeout + answerSlack
+	wait := timeout + lateResponseTolerance
 	abandonAfter := r.scenario.Clients.AbandonAfter
 	abandons := abandonAfter > 0 && abandonAfter <= wait
 	if abandons {
--- a/internal/emulator/realtime/realtime.go
+++ b/internal/emulator/realtime/realtime.go
@@ -29,8 +29,8 @@
 	OnProgress func(plan.Time)      // called each second; may be nil
 }
 
-// clientIdleTimeout is shorter than the 2.1 s after which fronts close idle connections. A client could otherwise send
-// a request on a connection that its front is closing.
+// clientIdleTimeout is shorter than the 2.1 s after which instances close idle client connections. A client could
+// otherwise send a request on a connection that its instance is closing.
 const clientIdleTimeout = time.Second
 
 // A run begins setupTime after the call of Run, and setupTimePerListener later for each listener, so that all servers
@@ -43,7 +43,7 @@
 // unlimitedConnections is a connection limit that no run reaches.
 const unlimitedConnections = 1 << 14
 
-// runner is one run.
+// runner holds the state of one run.
 type runner struct {
 	scenario  *plan.Scenario
 	options   Options
@@ -68,8 +68,8 @@
 // notificationKey identifies the notifications that one instance receives about one server.
 type notificationKey struct{ server, instance int }
 
-// Run runs a scenario. It takes as long as the scenario, and then until all requests have ended. It returns early with
-// the error of ctx if ctx ends.
+// Run runs a scenario in real time and returns when all its requests have ended. If ctx ends before, Run returns early
+// with the error of ctx.
 func Run(ctx context.Context, s *plan.Scenario, o Options) (*plan.Result, error) {
 	if len(s.Kills) > 0 {
 		return nil, ErrKillsUnsupported
--- a/internal/emulator/realtime/realtime_test.go
+++ b/internal/emulator/realtime/realtime_test.go
@@ -78,17 +78,19 @@
 	}
 	for i := range s.Classes {
 		if got.Classes[i].Requested != want.Classes[i].Requested {
-			t.Errorf("class %d: %+v on sockets, %+v on virtual time", i, got.Classes[i], want.Classes[i])
+			t.Errorf("class %d: %+v on sockets, %+v on virtual time, want as many requests",
+				i, got.Classes[i], want.Classes[i])
 		}
 	}
 	for i := range s.Tenants {
 		if got.Tenants[i].Requested != want.Tenants[i].Requested || got.Tenants[i].Requested == 0 {
-			t.Errorf("tenant %d: %+v on sockets, %+v on virtual time", i, got.Tenants[i], want.Tenants[i])
+			t.Errorf("tenant %d: %+v on sockets, %+v on virtual time, want as many requests, above 0",
+				i, got.Tenants[i], want.Tenants[i])
 		}
 	}
 	// The bound is wide since tests share the machine. The documentation lists measured differences.
 	if score, virtual := s.Score(got), s.Score(want); math.Abs(score-virtual) > 0.15 {
-		t.Errorf("G %.3f on sockets, %.3f on virtual time", score, virtual)
+		t.Errorf("score %.3f on sockets, %.3f on virtual time, want a difference of at most 0.15", score, virtual)
 	}
 	checkEvents(t, events, s, got)
 }
@@ -168,9 +170,9 @@
 		t.Fatal(err)
 	}
 	if violations := result.Violations(); result.Connections < 2000 || violations != "" {
-		t.Errorf("%d connections at most for %d client attempts, %.3f in time, violations: %s",
+		t.Errorf("%d connections at the peak for %d client attempts, %.3f in time, violations %q, want 2000 and none",
 			result.Connections, result.ClientAttempts, result.InTime(), violations)
 	}
-	t.Logf("%d client attempts, %d connections at most, %.3f in time",
+	t.Logf("%d client attempts, %d connections at the peak, %.3f in time",
 		result.ClientAttempts, result.Connections, result.InTime())
 }
--- a/internal/emulator/scenario/plan_test.go
+++ b/internal/emulator/scenario/plan_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("seed %d with no seed given, want 3, the seed of the file", got)
 	}
 	if got := file.Plan(8).Seed; got != 8 {
-		t.Errorf("seed %d, want 8", got)
+		t.Errorf("seed %d with seed 8 given, want 8", got)
 	}
 }
 
@@ -82,7 +82,7 @@
 		}
 		affected++
 		if !slices.Equal(server.Faults, []model.Fault{want}) {
-			t.Errorf("faults %+v, want %+v", server.Faults, want)
+			t.Errorf("server with the faults %+v, want %+v", server.Faults, want)
 		}
 	}
 	if affected != 2 {
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	paths, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil || len(paths) < minScenarios {
-		t.Fatalf("the library has the files %v, want at least %d; error %v", paths, minScenarios, err)
+		t.Fatalf("found the scenario files %v, want at least %d; error %v", paths, minScenarios, err)
 	}
 	library := map[string]*File{}
 	for _, path := range paths {
@@ -55,10 +55,10 @@
 		t.Error(violations)
 	}
 	if lowest == 0 {
-		t.Error("the scenario has no bound on its ratio served in time")
+		t.Error("the test has no minimum ratio of requests served in time for this scenario")
 	}
 	if got := result.InTime(); got < lowest {
-		t.Errorf("%.3f served in time, want at least %.3f: %+v", got, lowest, result.Classes)
+		t.Errorf("%.3f of the requests served in time, want at least %.3f; by class: %+v", got, lowest, result.Classes)
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 	paths, err := filepath.Glob("../../../scenarios/full-size/*.toml")
 	if err != nil || len(paths) != len(minInTime) {
-		t.Fatalf("%d full-size scenarios, want %d; error %v", len(paths), len(minInTime), err)
+		t.Fatalf("found %d full-size scenario files, want %d; error %v", len(paths), len(minInTime), err)
 	}
 	for _, path := range paths {
 		file, err := Load(path)
--- a/internal/emulator/simulation/call.go
+++ b/internal/emulator/simulation/call.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// openWithinBudget opens a connection when the handshake budget permits it. It fails if the wait would be too long.
+// openWithinBudget opens a connection as soon as the handshake budget permits it. If the wait would be too long, the
+// call fails without being sent.
 func (c *call) openWithinBudget() {
 	sim := c.instance.simulator
 	priority := handshake.Request
--- a/internal/emulator/simulation/client.go
+++ b/internal/emulator/simulation/client.go
@@ -9,8 +9,8 @@
 	"pinedale/internal/engine"
 )
 
-// answerSlack is how long after the client's timeout a response still counts as sent in time.
-const answerSlack = time.Millisecond
+// lateResponseTolerance is how long after its timeout a client still waits for the response.
+const lateResponseTolerance = time.Millisecond
 
 // clientAttempt is one attempt of a client at an instance: the first of its request, or a retry. It is its own
 // engine.Carrier.
@@ -59,7 +59,7 @@
 	if abandonAfter > 0 && !attempt.finished {
 		sim.after(abandonAfter, attempt.abandon)
 	}
-	sim.after(timeout+answerSlack, attempt.expire)
+	sim.after(timeout+lateResponseTolerance, attempt.expire)
 }
 
 // submit passes the attempt to the engine of its instance.
--- a/internal/emulator/simulation/faults_test.go
+++ b/internal/emulator/simulation/faults_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// Clients that disconnect early and retry make an overload worse. No rule is violated with or without them.
+// Clients that disconnect early and retry make an overload worse. There are no violations with or without them.
 func TestEarlyRetriesWorsenOverload(t *testing.T) {
 	overload := func(abandonAfter time.Duration) *plan.Result {
 		s := smallFleet(11)
--- a/internal/emulator/simulation/server.go
+++ b/internal/emulator/simulation/server.go
@@ -11,7 +11,7 @@
 	"pinedale/internal/engine"
 )
 
-// server is a server over all its incarnations.
+// server is one server of the scenario. It runs one process after the other, one for each of its incarnations.
 type server struct {
 	simulator   *simulator
 	spec        *plan.Server
@@ -43,11 +43,11 @@
 	}
 }
 
-// startProcess starts a process of the server. A process of the initial fleet is not in slow start, and the instances
-// start with it in their endpoint lists.
+// startProcess starts a process of the server. A process of the initial fleet is not in slow start, and it is in
+// the endpoint lists with which the instances start.
 func (s *server) startProcess(incarnation plan.Incarnation) {
 	sim := s.simulator
-	s.recordStrain()
+	s.recordPeakOverload()
 	warming := incarnation.From > 0
 	s.machine = model.New(model.Options{
 		Config:  s.spec.Config,
@@ -63,8 +63,8 @@
 	}
 }
 
-// recordStrain records how close the current process has come to a collapse.
-func (s *server) recordStrain() {
+// recordPeakOverload records how close the current process has come to a collapse.
+func (s *server) recordPeakOverload() {
 	if s.machine != nil {
 		result := s.simulator.result
 		result.PeakOverloadRatio = max(result.PeakOverloadRatio, s.machine.PeakOverloadRatio())
--- a/internal/emulator/simulation/simulation.go
+++ b/internal/emulator/simulation/simulation.go
@@ -24,7 +24,7 @@
 	OnProgress func(Time)           // called each virtual second; may be nil
 }
 
-// simulator is one run. It has a single goroutine, which executes scheduled events one after the other.
+// simulator holds the state of one run. It has a single goroutine, which executes scheduled events one after the other.
 type simulator struct {
 	scenario *plan.Scenario
 	options  Options
@@ -136,7 +136,7 @@
 	}
 }
 
-// tick runs every tickInterval until the last new request.
+// tick reports the progress of the run and ticks all engines, every tickInterval until the end of the scenario.
 func (sim *simulator) tick() {
 	if sim.options.OnProgress != nil {
 		sim.options.OnProgress(sim.now)
@@ -153,14 +153,14 @@
 func (sim *simulator) completeResult() {
 	sim.result.DuplicateEffects = len(sim.dedup.DuplicateEffects())
 	for _, server := range sim.servers {
-		server.recordStrain()
+		server.recordPeakOverload()
 		if server.collapsed {
 			sim.result.Collapsed = append(sim.result.Collapsed, server.number)
 		}
 	}
 }
 
-// emit passes an event of the trace to the caller of Run.
+// emit passes an event of the trace to Options.OnEvent.
 func (sim *simulator) emit(event trace.Event) {
 	if sim.options.OnEvent != nil {
 		event.At = sim.now.Microseconds()
--- a/internal/emulator/sockets/fleet.go
+++ b/internal/emulator/sockets/fleet.go
@@ -1,5 +1,5 @@
 // Package sockets runs emulated servers on loopback sockets: the server model of package model on the system's clock.
-// A Transport accepts the connections and requests; HTTP1 and TLS are transports.
+// A Transport accepts their connections and requests: HTTP1 without TLS, TLS with it.
 package sockets
 
 import (
--- a/internal/emulator/sockets/handler.go
+++ b/internal/emulator/sockets/handler.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// serveRequest answers a request that arrives after a latency. It arrives even if the client has disconnected.
+// serveRequest passes a request to the server after the latency and writes the response. A client that disconnects
+// meanwhile does not stop the request from reaching the server.
 func (h *handler) serveRequest(w http.ResponseWriter, r *http.Request, latency time.Duration) {
 	ctx := r.Context()
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)) // the body has no effect
--- a/internal/emulator/sockets/server.go
+++ b/internal/emulator/sockets/server.go
@@ -9,7 +9,7 @@
 // defaultListen selects an unused port of the loopback interface.
 const defaultListen = "127.0.0.1:0"
 
-// ServerSpec describes a server.
+// ServerSpec configures one server of a fleet.
 type ServerSpec struct {
 	Name      string
 	Group     string // the group of servers that share keys of the scope model.Group
@@ -21,7 +21,7 @@
 	Listen    string          // host:port of the only address; empty for unused ports of the loopback interface
 }
 
-// Server is one server on sockets.
+// Server is an emulated server that listens on sockets.
 type Server struct {
 	Name      string
 	Addresses []string // host:port, one for each of the spec's latencies
@@ -124,7 +124,7 @@
 	s.scheduleAdvance()
 }
 
-// markClosed stops the timer of a server that has ended. The caller holds the fleet's lock.
+// markClosed marks a server as closed and stops its timer. The caller holds the fleet's lock.
 func (s *Server) markClosed() {
 	s.closed = true
 	if s.timer != nil {
--- a/internal/emulator/sockets/submit.go
+++ b/internal/emulator/sockets/submit.go
@@ -72,12 +72,12 @@
 	request.Number = f.requests
 	s.pending[request.Number] = outcome
 	s.deliver(s.machine.Arrive(f.Now(), request))
-	s.deliver(s.machine.Advance(f.Now())) // requests without work complete here
+	s.deliver(s.machine.Advance(f.Now())) // completes requests that need no work
 	s.scheduleAdvance()
 	return outcome
 }
 
-// loadReport returns the load report of a response that is sent now.
+// loadReport returns the current load report, to be sent with a response.
 func (s *Server) loadReport() string {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
--- a/internal/emulator/sockets/transport.go
+++ b/internal/emulator/sockets/transport.go
@@ -11,7 +11,7 @@
 	"pinedale/internal/emulator/sockets/dualprotocol"
 )
 
-// Transport connects a server to sockets of one kind.
+// Transport listens for the connections of a server, with or without TLS.
 type Transport interface {
 	// Listen opens a listener at host:port and passes its requests to the server. latency is the emulated one-way
 	// latency to its clients. stop closes the listener and its connections; it does not wait for requests in flight.
--- a/internal/emulator/trace/trace.go
+++ b/internal/emulator/trace/trace.go
@@ -5,7 +5,7 @@
 // Version is the version of the format.
 const Version = 1
 
-// The hosts that a run can have.
+// Values of Header.Host: the clock and the network of a run.
 const (
 	Virtual = "virtual" // virtual time
 	Sockets = "sockets" // loopback sockets and the system's clock
--- a/internal/emulator/trace/writer.go
+++ b/internal/emulator/trace/writer.go
@@ -24,7 +24,7 @@
 	return w
 }
 
-// Write writes an event.
+// Write appends an event to the trace. Close returns the first error.
 func (w *Writer) Write(event Event) {
 	if w.err != nil {
 		return
--- a/internal/standin/ca/ca.go
+++ b/internal/standin/ca/ca.go
@@ -39,10 +39,10 @@
 // fault of the program.
 type PanicOnFatal struct{}
 
-// Helper does nothing.
+// Helper implements [TB] and does nothing.
 func (PanicOnFatal) Helper() {}
 
-// Fatal panics with an error.
+// Fatal implements [TB] and panics with an error.
 func (PanicOnFatal) Fatal(args ...any) { panic(errors.New(fmt.Sprint(args...))) }
 
 // Authority signs certificates.
--- a/internal/standin/fakediscovery/fakediscovery_test.go
+++ b/internal/standin/fakediscovery/fakediscovery_test.go
@@ -13,14 +13,14 @@
 	"pinedale/internal/standin/wait"
 )
 
-// call is the outcome of a call.
+// call is the result of one request to a directory.
 type call struct {
 	status int
 	body   string
 	err    error
 }
 
-// get calls a directory with a query. It returns a call without a status when ctx ends.
+// get sends a request with a query to a directory. If ctx ends before the response, the result has no status.
 func get(ctx context.Context, d *Directory, query string) call {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Address+"/?"+query, nil)
 	if err != nil {
--- a/internal/standin/fakezookeeper/fakezookeeper_test.go
+++ b/internal/standin/fakezookeeper/fakezookeeper_test.go
@@ -87,54 +87,54 @@
 	c := connect(t, s, testTimeout)
 	acl := zk.WorldACL(zk.PermAll)
 	if path, err := c.Create("/d", []byte("x"), 0, acl); err != nil || path != "/d" {
-		t.Fatalf("create: %q, %v", path, err)
+		t.Fatalf("create: path %q, error %v, want /d", path, err)
 	}
 	if _, err := c.Create("/d", nil, 0, acl); !errors.Is(err, zk.ErrNodeExists) {
-		t.Errorf("create again: %v", err)
+		t.Errorf("create of an existing node: error %v, want an error that the node exists", err)
 	}
 	if _, err := c.Create("/no/parent", nil, 0, acl); !errors.Is(err, zk.ErrNoNode) {
 		t.Errorf("create without a parent: %v", err)
 	}
 	names, stat, childrenChanged, err := c.ChildrenW("/d")
 	if err != nil || len(names) != 0 || stat.Cversion != 0 {
-		t.Fatalf("children: %v, %+v, %v", names, stat, err)
+		t.Fatalf("children of a new node: %v, stat %+v, error %v, want none", names, stat, err)
 	}
 	if path, err := c.Create("/d/e", []byte("1"), zk.FlagEphemeral, acl); err != nil || path != "/d/e" {
-		t.Fatalf("create ephemeral: %q, %v", path, err)
+		t.Fatalf("create of an ephemeral node: path %q, error %v, want /d/e", path, err)
 	}
 	expectEvent(t, childrenChanged, zk.EventNodeChildrenChanged, "/d")
 	if _, err := c.Create("/d/e/f", nil, 0, acl); !errors.Is(err, zk.ErrNoChildrenForEphemerals) {
 		t.Errorf("create under an ephemeral node: %v", err)
 	}
 	if s.Owner("/d/e") != c.SessionID() {
-		t.Errorf("owner %d, session %d", s.Owner("/d/e"), c.SessionID())
+		t.Errorf("the ephemeral node has owner %d, want session %d", s.Owner("/d/e"), c.SessionID())
 	}
 	for _, want := range []string{"/d/s0000000000", "/d/s0000000001"} {
 		if path, err := c.Create("/d/s", nil, zk.FlagEphemeral|zk.FlagSequence, acl); err != nil || path != want {
-			t.Errorf("create sequential: %q, %v", path, err)
+			t.Errorf("create of a sequential node: path %q, error %v, want %q", path, err, want)
 		}
 	}
 	data, stat, dataChanged, err := c.GetW("/d/e")
 	if err != nil || string(data) != "1" || stat.EphemeralOwner != c.SessionID() || stat.Version != 0 ||
 		stat.Czxid != stat.Mzxid || stat.DataLength != 1 {
-		t.Fatalf("get: %q, %+v, %v", data, stat, err)
+		t.Fatalf("get: data %q, stat %+v, error %v, want data 1 and version 0 of this session's node", data, stat, err)
 	}
 	if stat, err := c.Set("/d/e", []byte("22"), 0); err != nil || stat.Version != 1 || stat.Mzxid <= stat.Czxid {
-		t.Errorf("set: %+v, %v", stat, err)
+		t.Errorf("set: stat %+v, error %v, want version 1", stat, err)
 	}
 	expectEvent(t, dataChanged, zk.EventNodeDataChanged, "/d/e")
 	if _, err := c.Set("/d/e", nil, 0); !errors.Is(err, zk.ErrBadVersion) {
 		t.Errorf("set of an old version: %v", err)
 	}
 	if data, _, err := c.Get("/d/e"); err != nil || string(data) != "22" {
-		t.Errorf("get: %q, %v", data, err)
+		t.Errorf("get after set: data %q, error %v, want 22", data, err)
 	}
 	if ok, stat, err := c.Exists("/d"); err != nil || !ok || stat.NumChildren != 3 {
-		t.Errorf("exists: %v, %+v, %v", ok, stat, err)
+		t.Errorf("exists: %v, stat %+v, error %v, want a node with 3 children", ok, stat, err)
 	}
 	ok, _, created, err := c.ExistsW("/d/later")
 	if err != nil || ok {
-		t.Errorf("exists: %v, %v", ok, err)
+		t.Errorf("exists before the create: %v, error %v, want false", ok, err)
 	}
 	if _, err := c.Create("/d/later", nil, 0, acl); err != nil {
 		t.Fatal(err)
@@ -151,16 +151,16 @@
 		t.Errorf("delete of another version: %v", err)
 	}
 	if err := c.Delete("/d/later", 0); err != nil {
-		t.Errorf("delete: %v", err)
+		t.Errorf("delete of the current version: %v", err)
 	}
 	expectEvent(t, deleted, zk.EventNodeDeleted, "/d/later")
 	names, _, err = c.Children("/d")
 	slices.Sort(names)
 	if err != nil || !slices.Equal(names, []string{"e", "s0000000000", "s0000000001"}) {
-		t.Errorf("children: %v, %v", names, err)
+		t.Errorf("children: %v, error %v, want e and the two sequential nodes", names, err)
 	}
 	if path, err := c.Sync("/d"); err != nil || path != "/d" {
-		t.Errorf("sync: %q, %v", path, err)
+		t.Errorf("sync: path %q, error %v, want /d", path, err)
 	}
 	if _, err := c.Multi(&zk.DeleteRequest{Path: "/d", Version: -1}); err == nil {
 		t.Error("an operation that is not supported succeeds")
@@ -227,7 +227,7 @@
 		t.Fatal(err)
 	}
 	if id := binary.BigEndian.Uint64(response[12:]); id == 0 {
-		t.Fatal("the connect request opened no session")
+		t.Fatal("the server answered the connect request without a session ID")
 	}
 	waitUntil(t, "the silent session did not expire", func() bool { return len(s.Sessions()) == 0 })
 }
--- a/internal/standin/fakezookeeper/jute.go
+++ b/internal/standin/fakezookeeper/jute.go
@@ -119,7 +119,7 @@
 // writer is a frame that is being written. Its first bytes are the frame's length.
 type writer []byte
 
-// newFrame returns an empty frame, to be ended by seal.
+// newFrame returns an empty frame. After the last field is written, seal completes it.
 func newFrame() *writer {
 	w := make(writer, lengthBytes, 64)
 	return &w
--- a/internal/standin/proxy/forward.go
+++ b/internal/standin/proxy/forward.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return upstreamResponse{code: http.StatusServiceUnavailable, details: detailsConnectFailed}
 	}
-	_ = conn.SetDeadline(time.Now().Add(timeout)) // on a closed connection, the write fails
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // fails only if the connection is closed; the write then fails too
 	response, err := conn.exchange(decision, request)
 	if err == nil {
 		p.release(decision.Endpoint, conn, response.close)
@@ -58,7 +58,8 @@
 	return upstreamResponse{code: http.StatusServiceUnavailable, details: detailsReset}
 }
 
-// exchange writes a request and reads its complete response. The time left that it sends is that of the decision.
+// exchange writes a request and reads its complete response. It sends the remaining time that the decision states, not
+// that of the request.
 func (e *endpoint) exchange(decision Decision, request Request) (*upstreamResponse, error) {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\n", request.Method, request.Path)
--- a/internal/standin/testfleet/client.go
+++ b/internal/standin/testfleet/client.go
@@ -25,7 +25,7 @@
 	err   error
 }
 
-// Dial opens a connection. Reading ends after timeout.
+// Dial opens a connection. All reads and writes fail once timeout has passed.
 func Dial(address string, timeout time.Duration) (*Client, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/standin/testfleet/process.go
+++ b/internal/standin/testfleet/process.go
@@ -59,7 +59,7 @@
 		p.exitErr = cmd.Wait()
 	}()
 	t.Cleanup(func() {
-		_ = cmd.Process.Kill() // it may have ended by itself
+		_ = cmd.Process.Kill() // fails if the process has already exited
 		<-p.exited
 		if t.Failed() {
 			t.Logf("log of %v:\n%s", cmd.Args, p.Log.String())
--- a/internal/standin/testfleet/request.go
+++ b/internal/standin/testfleet/request.go
@@ -24,7 +24,7 @@
 // NewRequestID returns an id that no other request of the process has.
 func NewRequestID() string { return fmt.Sprintf("9b1f03aa%08x", lastRequestID.Add(1)) }
 
-// HTTP returns the request to the server at an address.
+// HTTP returns the request as an HTTP request to the server at an address.
 func (r Request) HTTP(t testing.TB, address string) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, r.Body
--- a/internal/standin/testfleet/sidecar.go
+++ b/internal/standin/testfleet/sidecar.go
@@ -117,7 +117,7 @@
 	Probe float64 `json:"probe"`
 }
 
-// Reporting says how endpoints report their load.
+// Reporting configures how endpoints report their load.
 type Reporting struct {
 	Mode   string   `json:"how"`
 	Fields []string `json:"fields"`
@@ -204,7 +204,7 @@
 	Settings  SidecarSettings        `json:"settings"`
 }
 
-// JSON returns the content of the file, and ends the test on an error.
+// JSON returns the content of the file. It ends the test on an error.
 func (c SidecarConfig) JSON(t testing.TB) string {
 	t.Helper()
 	text, err := c.Marshal()
@@ -231,7 +231,7 @@
 	return json.Marshal(file)
 }
 
-// JSON returns the settings as they appear in the file, and ends the test on an error.
+// JSON returns the settings as they appear in the file. It ends the test on an error.
 func (s SidecarSettings) JSON(t testing.TB) string {
 	t.Helper()
 	text, err := json.Marshal(s)
--- a/internal/standin/testfleet/testfleet_test.go
+++ b/internal/standin/testfleet/testfleet_test.go
@@ -25,7 +25,8 @@
 	"pinedale/internal/standin/wait"
 )
 
-// waiterName names a program that prints its arguments, and exits with exitTerminated on SIGTERM.
+// waiterName is the name of a test program that prints its arguments, waits for SIGTERM and then exits with the code
+// exitTerminated.
 const (
 	waiterName     = "waiter"
 	exitTerminated = 3
--- a/internal/standin/tlsbackend/credentials.go
+++ b/internal/standin/tlsbackend/credentials.go
@@ -13,8 +13,8 @@
 // ticketKeyBytes is the length of a key that encrypts session tickets.
 const ticketKeyBytes = 32
 
-// Credentials are what servers present to clients and require of them. They may be changed at any time; a handshake
-// uses those in effect when it begins.
+// Credentials are the certificate that servers present, the client certificates that they require, and their session
+// tickets. They may be changed at any time; a handshake uses those in effect when it begins.
 type Credentials struct {
 	t      ca.TB
 	config atomic.Pointer[tls.Config] // shared by all protocols
@@ -60,8 +60,8 @@
 	c.update(func() { c.certificate = certificate })
 }
 
-// SetClientCAs makes servers require a client certificate signed by one of the authorities, or none if no authority is
-// given.
+// SetClientCAs makes servers require a client certificate that one of the authorities has signed. Without authorities,
+// servers require no client certificate.
 func (c *Credentials) SetClientCAs(authorities ...*ca.Authority) {
 	var pool *x509.CertPool
 	if len(authorities) > 0 {
--- a/internal/standin/tlsbackend/faulty.go
+++ b/internal/standin/tlsbackend/faulty.go
@@ -10,7 +10,7 @@
 // HandshakeFault handles a connection in place of a TLS handshake. The connection is closed once it returns.
 type HandshakeFault func(net.Conn)
 
-// Numbers of bytes that the faults read or write.
+// Disconnect reads at most truncatedBytes of the client's first message. Garbage writes garbageBytes.
 const (
 	truncatedBytes = 16
 	garbageBytes   = 4096
--- a/internal/standin/tlsbackend/tlsbackend_test.go
+++ b/internal/standin/tlsbackend/tlsbackend_test.go
@@ -159,7 +159,7 @@
 			var netErr net.Error
 			timedOut := errors.As(err, &netErr) && netErr.Timeout()
 			if err == nil || timedOut != test.wantTimeout {
-				t.Errorf("handshake error %v, want a timeout: %v", err, test.wantTimeout)
+				t.Errorf("handshake error %v, want an error that is a timeout: %v", err, test.wantTimeout)
 			}
 		})
 	}
--- a/internal/standin/udprelay/udprelay_test.go
+++ b/internal/standin/udprelay/udprelay_test.go
@@ -47,7 +47,7 @@
 	return &path{t: t, relay: relay, client: client, server: server}
 }
 
-// send has the client send datagrams.
+// send sends datagrams from the client.
 func (p *path) send(datagrams ...string) {
 	p.t.Helper()
 	for _, datagram := range datagrams {
@@ -167,10 +167,10 @@
 	p.send("b")
 	_, after := p.receive(1)
 	if before.Port == after.Port {
-		t.Errorf("the client's port is still %d", after.Port)
+		t.Errorf("the client's port is still %d after a rebind", after.Port)
 	}
 	if n := p.relay.ClientAddressCount(); n != 2 {
-		t.Errorf("%d addresses, want 2", n)
+		t.Errorf("the server has seen %d client addresses, want 2", n)
 	}
 	if _, err := p.server.WriteToUDP([]byte("lost"), before); err != nil {
 		t.Fatal(err)
