--- a/cmd/pinedale-simulate/demo.go
+++ b/cmd/pinedale-simulate/demo.go
@@ -121,7 +121,7 @@
 	fleet   *demoFleet
 	clients *demoClients
 	length  time.Duration
-	failing model.Fault // of the first server
+	failing model.Fault // the fault of the first server
 
 	joined  bool          // the last server has been started
 	printed time.Duration // end of the last second whose counts were printed
--- a/cmd/pinedale-simulate/main_test.go
+++ b/cmd/pinedale-simulate/main_test.go
@@ -154,7 +154,7 @@
 		}
 		stdout, stderr, code := execute("replay", path)
 		if code != 1 || !strings.Contains(stdout+stderr, c.want) {
-			t.Errorf("%s: exit code %d, printed %s\n%s", name, code, stdout, stderr)
+			t.Errorf("%s: exit code %d, printed %s\n%s\nwant 1 and %q", name, code, stdout, stderr, c.want)
 		}
 	}
 }
--- a/internal/emulator/plan/fleet.go
+++ b/internal/emulator/plan/fleet.go
@@ -28,7 +28,7 @@
 // AlwaysRunning is the incarnation of a server that was running before the run and outlives it.
 var AlwaysRunning = []Incarnation{{Drain: Never, End: Never}}
 
-// Class is one class of requests.
+// Class is a class of requests with its settings, its share of the load and the work of a request.
 type Class struct {
 	balancer.Class
 	Share float64       // of new requests
--- a/internal/emulator/plan/result.go
+++ b/internal/emulator/plan/result.go
@@ -54,7 +54,7 @@
 	Tenants           []Tally
 	Seconds           []Second
 	Attempts          []int // by server
-	ClientAttempts    int   // with retries
+	ClientAttempts    int   // including retries
 	Probes            int
 	Connections       int     // the highest number open at once
 	Handshakes        int     // connections opened; on virtual time only
--- a/internal/emulator/realtime/instance.go
+++ b/internal/emulator/realtime/instance.go
@@ -33,8 +33,9 @@
 	n.engine.Call(func(balancer.Micros) {})
 }
 
-// startInstances starts all instances and waits until each has its endpoint list. stop ends the fronts, which respond
-// to their requests in flight, and then the engines. stop must be called even if startInstances returns an error.
+// startInstances starts all instances and waits until each has its endpoint list. stop ends the HTTP fronts, which
+// first respond to their requests in flight, and then the engines. stop must be called even if startInstances returns
+// an error.
 func (r *runner) startInstances() (stop func(), err error) {
 	engineContext, cancelEngines := context.WithCancel(context.Background())
 	frontContext, cancelFronts := context.WithCancel(context.Background())
--- a/internal/emulator/realtime/realtime_test.go
+++ b/internal/emulator/realtime/realtime_test.go
@@ -100,13 +100,13 @@
 	t.Helper()
 	attempts := result.ClientAttempts
 	if events[trace.KindRequest] != attempts || events[trace.KindResponse] != attempts {
-		t.Errorf("events %v, want a request and a response for each of %d client attempts", events, attempts)
+		t.Errorf("event counts %v, want a request and a response for each of %d client attempts", events, attempts)
 	}
 	if want := 3 * len(s.Instances); events[trace.KindEndpoint] != want {
-		t.Errorf("events %v, want %d notifications", events, want)
+		t.Errorf("event counts %v, want %d notifications", events, want)
 	}
 	if events[trace.KindAttempt] < attempts/2 {
-		t.Errorf("events %v, want an attempt for most of %d client attempts", events, attempts)
+		t.Errorf("event counts %v, want an attempt for most of %d client attempts", events, attempts)
 	}
 }
 
--- a/internal/emulator/scenario/validate.go
+++ b/internal/emulator/scenario/validate.go
@@ -34,7 +34,7 @@
 	scenario *File
 }
 
-// validate checks all values of the scenario.
+// validate checks all values of the scenario and records an error for each invalid one.
 func (v *validator) validate() {
 	file := v.scenario
 	v.Require(file.Version == fileVersion, "version", "unsupported version %d; this program reads version %d",
--- a/internal/emulator/simulation/faults_test.go
+++ b/internal/emulator/simulation/faults_test.go
@@ -45,7 +45,8 @@
 			requireNoViolations(t, result)
 			requireInTime(t, result, 0.95)
 			if during > before/2 {
-				t.Errorf("the failing servers get a share of %.2f, want at most half of the %.2f before", during, before)
+				t.Errorf("the failing servers get a share of %.2f, want at most half of the %.2f before",
+					during, before)
 			}
 			baseline := runPolicy(t, scenario(), "least-request", nil)
 			baselineBefore := attemptShare(baseline, 0, 5, failing...)
@@ -135,7 +136,7 @@
 	}
 	for name, result := range map[string]*plan.Result{"patient": patient, "impatient": impatient} {
 		if violations := result.Violations(); violations != "" {
-			t.Errorf("%s clients: %s", name, violations)
+			t.Errorf("%s clients: violations: %s", name, violations)
 		}
 	}
 	if impatient.ClientAttempts < requested*3/2 || impatient.InTime() >= patient.InTime() {
@@ -172,7 +173,7 @@
 		t.Errorf("%d requests in work and %d waiting a minute after the run, want none", working, waiting)
 	}
 	if done := process.WorkDone(); done < 0.99*float64(started[1]) {
-		t.Errorf("%.2f s of work were done for %d requests of 1 s", done, started[1])
+		t.Errorf("%.2f s of work were done for %d requests of 1 s, want at least 0.99 of that", done, started[1])
 	}
 }
 
@@ -191,7 +192,8 @@
 		}
 	})
 	if resets == 0 || result.Connections > limit*len(s.Servers) {
-		t.Errorf("%d resets, %d connections at most: the connection limit is not enforced", resets, result.Connections)
+		t.Errorf("%d resets, %d connections at the peak: the connection limit is not enforced",
+			resets, result.Connections)
 	}
 	if result.DuplicateEffects+result.SentAfterDrain+result.Unanswered > 0 {
 		t.Error(result.Violations())
--- a/internal/emulator/simulation/restart_test.go
+++ b/internal/emulator/simulation/restart_test.go
@@ -36,7 +36,8 @@
 	}
 	removed, returned := attemptShare(result, 8, 10, 0), attemptShare(result, 14, 20, 0)
 	if removed != 0 || returned == 0 {
-		t.Errorf("the server's share is %.2f while it is removed and %.2f afterwards", removed, returned)
+		t.Errorf("the server's share is %.2f while it is removed and %.2f afterwards, want 0 and more than 0",
+			removed, returned)
 	}
 }
 
@@ -53,11 +54,12 @@
 		}}
 		result := runPolicy(t, s, policy, nil)
 		if result.Unanswered+result.SentAfterDrain > 0 || result.InTime() < 0.5 {
-			t.Errorf("%s: %s, %.3f in time", policy, result.Violations(), result.InTime())
+			t.Errorf("%s: violations %q, %.3f in time, want no unanswered attempt, none after a drain, at least 0.5",
+				policy, result.Violations(), result.InTime())
 		}
 	}
 	if _, err := baselines.Named("best", nil); err == nil || !strings.Contains(err.Error(), "least-request") {
-		t.Errorf("an unknown policy gives the error %v", err)
+		t.Errorf("an unknown policy gives the error %v, want one that lists the policies", err)
 	}
 }
 
@@ -102,7 +104,7 @@
 	requireNoViolations(t, result)
 	for _, instance := range sim.instances {
 		if instance.killed || len(instance.openAttempts) > 0 {
-			t.Errorf("instance %d: killed %t, %d client attempts without a response",
+			t.Errorf("instance %d: killed %t, %d client attempts without a response, want false and none",
 				instance.number, instance.killed, len(instance.openAttempts))
 		}
 	}
@@ -160,12 +162,14 @@
 	}
 	for second := 11; second < 15; second++ { // requests of second 10 were in progress at the kill
 		if got, want := inTime(second), inTime(8)-0.05; got < want {
-			t.Errorf("second %d: %.3f served in time, %.3f before the restart", second, got, inTime(8))
+			t.Errorf("second %d: %.3f served in time, want at most 0.05 less than the %.3f before the restart",
+				second, got, inTime(8))
 		}
 	}
 	seconds := int(s.Length / time.Second)
 	if mean := result.Handshakes / len(s.Servers) / seconds; result.PeakHandshakes > 4*mean {
-		t.Errorf("%d connections opened to one server in a second, the mean is %d", result.PeakHandshakes, mean)
+		t.Errorf("%d connections opened to one server in a second, want at most 4 times the mean of %d",
+			result.PeakHandshakes, mean)
 	}
 }
 
--- a/internal/emulator/sockets/server_test.go
+++ b/internal/emulator/sockets/server_test.go
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(string(report), "eps=0") || !strings.Contains(string(report), "queue=") {
-		t.Errorf("report %q", report)
+		t.Errorf("load report %q, want one without errors and with the queue", report)
 	}
 }
 
@@ -236,7 +236,7 @@
 		t.Fatalf("status %d, want 200", status)
 	}
 	if elapsed := time.Since(began); elapsed < 800*ms {
-		t.Errorf("response after %v: the request did not wait for the abandoned one", elapsed)
+		t.Errorf("response after %v, want at least 800 ms: the abandoned request comes first", elapsed)
 	}
 	send(s.Addresses[0], testRequest{class: "order", id: "1"})
 	if len(f.DuplicateEffects()) != 1 {
--- a/internal/standin/fakebackend/fakebackend_test.go
+++ b/internal/standin/fakebackend/fakebackend_test.go
@@ -56,13 +56,14 @@
 		t.Errorf("counts %+v, want %+v", got, want)
 	}
 	if keys := fleet.DuplicateEffects(); len(keys) > 0 {
-		t.Errorf("duplicate effects of %q", keys)
+		t.Errorf("keys with duplicate effects %q, want none", keys)
 	}
 	if counts := fleet.EffectCounts(); len(counts) != 1 {
 		t.Errorf("effects %v, want one", counts)
 	}
 	if first.LastRequest().IsZero() || second.LastRequest().Before(first.LastRequest()) {
-		t.Errorf("last requests at %v and %v", first.LastRequest(), second.LastRequest())
+		t.Errorf("last requests at %v and %v, want the second not before the first",
+			first.LastRequest(), second.LastRequest())
 	}
 }
 
@@ -107,7 +108,8 @@
 			t.Errorf("status codes %v, want both 200 and 500", first)
 		}
 		if slices.Equal(first, second) != same {
-			t.Errorf("SameOnAllServers %v: status codes %v and %v", same, first, second)
+			t.Errorf("SameOnAllServers %v: status codes %v and %v, want them equal only if it is true",
+				same, first, second)
 		}
 	}
 }
--- a/internal/standin/fakezookeeper/fakezookeeper_test.go
+++ b/internal/standin/fakezookeeper/fakezookeeper_test.go
@@ -93,7 +93,7 @@
 		t.Errorf("create of an existing node: error %v, want an error that the node exists", err)
 	}
 	if _, err := c.Create("/no/parent", nil, 0, acl); !errors.Is(err, zk.ErrNoNode) {
-		t.Errorf("create without a parent: %v", err)
+		t.Errorf("create without a parent: error %v, want an error that there is no such node", err)
 	}
 	names, stat, childrenChanged, err := c.ChildrenW("/d")
 	if err != nil || len(names) != 0 || stat.Cversion != 0 {
@@ -104,7 +104,7 @@
 	}
 	expectEvent(t, childrenChanged, zk.EventNodeChildrenChanged, "/d")
 	if _, err := c.Create("/d/e/f", nil, 0, acl); !errors.Is(err, zk.ErrNoChildrenForEphemerals) {
-		t.Errorf("create under an ephemeral node: %v", err)
+		t.Errorf("create under an ephemeral node: error %v, want an error that it has no children", err)
 	}
 	if s.Owner("/d/e") != c.SessionID() {
 		t.Errorf("the ephemeral node has owner %d, want session %d", s.Owner("/d/e"), c.SessionID())
@@ -124,7 +124,7 @@
 	}
 	expectEvent(t, dataChanged, zk.EventNodeDataChanged, "/d/e")
 	if _, err := c.Set("/d/e", nil, 0); !errors.Is(err, zk.ErrBadVersion) {
-		t.Errorf("set of an old version: %v", err)
+		t.Errorf("set of an old version: error %v, want a bad version", err)
 	}
 	if data, _, err := c.Get("/d/e"); err != nil || string(data) != "22" {
 		t.Errorf("get after set: data %q, error %v, want 22", data, err)
@@ -145,10 +145,10 @@
 		t.Fatal(err)
 	}
 	if err := c.Delete("/d", -1); !errors.Is(err, zk.ErrNotEmpty) {
-		t.Errorf("delete of a directory: %v", err)
+		t.Errorf("delete of a node with children: error %v, want an error that it is not empty", err)
 	}
 	if err := c.Delete("/d/later", 7); !errors.Is(err, zk.ErrBadVersion) {
-		t.Errorf("delete of another version: %v", err)
+		t.Errorf("delete of another version: error %v, want a bad version", err)
 	}
 	if err := c.Delete("/d/later", 0); err != nil {
 		t.Errorf("delete of the current version: %v", err)
@@ -310,7 +310,7 @@
 		00000010 00000000000000000000000000000000 00`)
 	// ConnectResponse: protocolVersion, timeOut, sessionId (the first is 0x101), passwd of 16.
 	if rest := raw.expect("connect", "00000000 00002710 0000000000000101 00000010"); len(rest) != 16 {
-		t.Errorf("connect: a password of %d bytes", len(rest))
+		t.Errorf("connect: a password of %d bytes, want 16", len(rest))
 	}
 	// RequestHeader xid -2, type 11 (ping); ReplyHeader xid -2, zxid 0, err 0.
 	raw.send("00000008 fffffffe 0000000b")
@@ -354,10 +354,10 @@
 	raw.send("00000008 00000008 fffffff5")
 	raw.expect("close", "00000008 0000000000000003 00000000")
 	if n, err := raw.conn.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-		t.Errorf("after the close: %d bytes, %v", n, err)
+		t.Errorf("read after the close: %d bytes, error %v, want EOF", n, err)
 	}
 	if len(s.Sessions()) != 0 {
-		t.Error("the session has not ended")
+		t.Error("the session still exists after closeSession")
 	}
 }
 
@@ -375,12 +375,12 @@
 		raw := dial(t, s)
 		write(t, raw, frame)
 		if response, err := io.ReadAll(raw); len(response) > 0 {
-			t.Errorf("%s: response %x, %v", name, response, err)
+			t.Errorf("%s: response %x, error %v, want a closed connection without a response", name, response, err)
 		}
 		raw.Close()
 	}
 	if _, _, err := c.Children("/"); err != nil {
-		t.Errorf("another connection: %v", err)
+		t.Errorf("request on another connection: %v", err)
 	}
 }
 
@@ -391,12 +391,12 @@
 	f.Add(make([]byte, 44))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if c, err := parseConnect(data); err == nil && len(c.password) > len(data) {
-			t.Errorf("password of %d bytes from a frame of %d bytes", len(c.password), len(data))
+			t.Errorf("parsed password of %d bytes is longer than its frame of %d bytes", len(c.password), len(data))
 		}
 		r, err := parseRequest(data)
 		watches := len(r.dataWatches) + len(r.childWatches) + len(r.existWatches)
 		if err == nil && len(r.path)+len(r.data)+watches > len(data) {
-			t.Errorf("request %+v from a frame of %d bytes", r, len(data))
+			t.Errorf("parsed request %+v holds more than its frame of %d bytes", r, len(data))
 		}
 	})
 }
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -26,7 +26,7 @@
 // Behaviour says how one attempt deviates from normal operation. The zero value is a normal attempt.
 type Behaviour struct {
 	DisconnectBeforeDecision bool // the stream is canceled once the decision has been requested
-	DisconnectAtDecision     bool // the stream is canceled once the decision has arrived, which is not used
+	DisconnectAtDecision     bool // the stream is canceled once the decision has arrived; the decision is not used
 	NoReport                 bool // the request is forwarded, and the stream ends without a report
 	Attempt                  int  // x-envoy-attempt-count, 0 for none
 }
@@ -40,7 +40,7 @@
 	RetryAllowed bool   // the processor permits another attempt
 	SentAt       time.Time
 	SentTo       string // endpoint
-	Err          error  // of the stream
+	Err          error  // the error of the stream
 }
 
 // Proxy is one proxy with its connections. Make one with [Dial].
--- a/internal/standin/proxy/proxy_test.go
+++ b/internal/standin/proxy/proxy_test.go
@@ -152,7 +152,8 @@
 	body, err := io.ReadAll(forwarded.Body)
 	if err != nil || string(body) != "body" || forwarded.URL.Path != "/pay/x" ||
 		forwarded.Header.Get("X-Time-Left-Ms") != "20000" || forwarded.Header.Get("X-Service-Class") != "pay" {
-		t.Errorf("forwarded %s with body %q, headers %v, %v", forwarded.URL, body, forwarded.Header, err)
+		t.Errorf("forwarded %s with body %q, headers %v, error %v, want /pay/x with the request's body and class",
+			forwarded.URL, body, forwarded.Header, err)
 	}
 	requested := headersOf((<-processor.requests).GetRequestHeaders())
 	if requested[headerMethod] != "POST" || requested[headerPath] != "/pay/x" || requested[headerAttempt] != "3" {
@@ -166,7 +167,8 @@
 	details := report.Attributes[attributesNamespace].GetFields()[attributeDetails].GetStringValue()
 	served := report.MetadataContext.FilterMetadata[metadataNamespace].GetFields()[metadataServed].GetStringValue()
 	if details != detailsForwarded || served != endpoint.Address {
-		t.Errorf("reported details %q, endpoint %q", details, served)
+		t.Errorf("reported details %q, endpoint %q, want %q and %q",
+			details, served, detailsForwarded, endpoint.Address)
 	}
 }
 
@@ -209,7 +211,8 @@
 			result := p.Do(t.Context(), testRequest, Behaviour{})
 			if result.Err != nil || result.Code != test.wantCode || result.RetryAfter != test.wantRetryAfter ||
 				result.RetryAllowed != test.wantRetry {
-				t.Errorf("result %+v", result)
+				t.Errorf("result %+v, want status code %d, Retry-After %q, retry allowed %v",
+					result, test.wantCode, test.wantRetryAfter, test.wantRetry)
 			}
 		})
 	}
@@ -261,7 +264,7 @@
 			p, processor := dialProcessor(t, forwardTo(endpoint.Address, longTimeout), reportResponse())
 			result := p.Do(t.Context(), testRequest, test.behaviour)
 			if result.Err != nil || result.Decisions != test.wantDecisions || result.Code != test.wantCode {
-				t.Errorf("result %+v", result)
+				t.Errorf("result %+v, want %d decisions and status code %d", result, test.wantDecisions, test.wantCode)
 			}
 			if n := endpoint.RequestCount(); n != test.wantForwarded {
 				t.Errorf("%d requests were forwarded, want %d", n, test.wantForwarded)
--- a/internal/standin/testfleet/sidecar.go
+++ b/internal/standin/testfleet/sidecar.go
@@ -80,7 +80,7 @@
 	PriorityWeight   float64 `json:"credit,omitempty"`
 }
 
-// Tenant is a tenant with its quota.
+// Tenant is the entry of one tenant in the settings.
 type Tenant struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
--- a/internal/standin/testfleet/testfleet_test.go
+++ b/internal/standin/testfleet/testfleet_test.go
@@ -98,10 +98,11 @@
 	for _, class := range full.Classes {
 		idempotencies = append(idempotencies, class.Idempotency)
 		if class.ClientTimeout != 3_000_000 {
-			t.Errorf("class %s has a client timeout of %d us", class.Name, class.ClientTimeout)
+			t.Errorf("class %s has a client timeout of %d us, want 3,000,000", class.Name, class.ClientTimeout)
 		}
 		if hasKey := class.Idempotency == balancer.IdempotentWithKey; hasKey != (class.DedupWindow == 5_000_000) {
-			t.Errorf("class %s has a dedup window of %d us", class.Name, class.DedupWindow)
+			t.Errorf("class %s has a dedup window of %d us, want 5,000,000 only with an idempotency key",
+				class.Name, class.DedupWindow)
 		}
 	}
 	want := []balancer.Idempotency{
@@ -116,7 +117,8 @@
 	const address = "127.0.0.1:1"
 	read := testfleet.Request{ID: "1", Class: "read", Path: "x", Body: "body", TimeLeft: time.Second}.HTTP(t, address)
 	if read.Method != http.MethodGet || read.ContentLength != 0 || read.URL.String() != "http://127.0.0.1:1/read/x" {
-		t.Errorf("request %s %s with a body of %d bytes, want a GET with no body", read.Method, read.URL, read.ContentLength)
+		t.Errorf("request %s %s with a body of %d bytes, want a GET with no body",
+			read.Method, read.URL, read.ContentLength)
 	}
 	if key, ok := read.Header["Idempotency-Key"]; ok {
 		t.Errorf("idempotency key %q, want none", key)
--- a/internal/standin/udprelay/udprelay_test.go
+++ b/internal/standin/udprelay/udprelay_test.go
@@ -91,7 +91,7 @@
 	p.send("a", "b")
 	got, client := p.receive(2)
 	if !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("the server received %q", got)
+		t.Errorf("the server received %q, want a and b", got)
 	}
 	if _, err := p.server.WriteToUDP([]byte("c"), client); err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	}
 	buffer := make([]byte, 100)
 	if n, err := p.client.Read(buffer); err != nil || string(buffer[:n]) != "c" {
-		t.Errorf("the client received %q, %v", buffer[:n], err)
+		t.Errorf("the client received %q, error %v, want c", buffer[:n], err)
 	}
 	if toServer, toClient := p.relay.DatagramCounts(); toServer != 2 || toClient != 1 {
 		t.Errorf("%d datagrams to the server and %d to the client, want 2 and 1", toServer, toClient)
@@ -153,7 +153,7 @@
 	p.relay.SetBlocked(ToServer, false)
 	p.send("b")
 	if got, _ := p.receive(1); !slices.Equal(got, []string{"b"}) {
-		t.Errorf("the server received %q after the block", got)
+		t.Errorf("the server received %q after the block, want b", got)
 	}
 }
 
