--- a/internal/front/exchange/dispatcher.go
+++ b/internal/front/exchange/dispatcher.go
@@ -55,7 +55,7 @@
 		}
 	}
 	defer d.unregister(req.CorrelationID)
-	// waitCtx ends with this call, and so before the engine is notified of a disconnect.
+	// waitCtx ends at the latest with this call, and always before the engine is notified of a disconnect.
 	waitCtx, cancel := context.WithDeadline(in.Context(), d.engine.WallTime(req.Deadline).Add(responseSlack))
 	defer cancel()
 	responses := make(chan engine.Response, 1) // capacity 1, so that Respond does not block
--- a/internal/front/exchange/response.go
+++ b/internal/front/exchange/response.go
@@ -28,7 +28,7 @@
 	_, _ = w.Write(r.Body) // a client that has disconnected needs no response
 }
 
-// ReadinessPath is answered by the fronts themselves, by WriteReadiness.
+// ReadinessPath is the path that the fronts answer themselves, with WriteReadiness.
 const ReadinessPath = "/health/ready"
 
 // WriteReadiness writes 200 if requests can be served, 503 while the front drains or no endpoint is known.
--- a/internal/front/extproc/host.go
+++ b/internal/front/extproc/host.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// scheduleTick has the ledger check its timeouts periodically until the ledger is empty.
+// scheduleTick makes the ledger check its timeouts periodically until the ledger is empty.
 func (h *host) scheduleTick() {
 	h.engine.After(time.Duration(routing.OfferTimeout/2)*time.Microsecond, func(now routing.Micros) {
 		h.ledger.Tick(now)
@@ -73,7 +73,7 @@
 	})
 }
 
-// streamClosed handles the end of a stream. undelivered says that its decision never reached the caller.
+// streamClosed handles the end of a stream. undelivered reports whether its decision never reached the caller.
 func (h *host) streamClosed(now routing.Micros, s *pendingStream, undelivered bool) {
 	delete(h.streams, s.id)
 	h.ledger.StreamClosed(now, s.id, undelivered)
@@ -148,7 +148,8 @@
 	r.host.engine.Defer(func(now routing.Micros) { r.host.ledger.AttemptCancelled(now, r.id, index) })
 }
 
-// respond handles the module's final answer. The ledger has already been notified of an attempt that succeeded.
+// respond handles the module's final answer. Other codes need no action: the ledger already knows of the attempt that
+// succeeded.
 func (r *round) respond(response engine.Response) {
 	r.finished = true
 	now := r.host.engine.Now()
--- a/internal/front/extproc/report.go
+++ b/internal/front/extproc/report.go
@@ -28,7 +28,7 @@
 
 // Values of attributeDetails.
 const (
-	detailsUpstream       = "via_upstream" // the endpoint made the answer
+	detailsUpstream       = "via_upstream" // the answer is the endpoint's own
 	detailsTimeout        = "response_timeout"
 	detailsAttemptTimeout = "upstream_per_try_timeout"
 	detailsResetPrefix    = "upstream_reset_before_response_started{"
@@ -42,7 +42,7 @@
 }
 
 // readReport reads an answer's headers. The request counts as never run only where that is proven: by the endpoint
-// itself, or by a connection that was never established.
+// itself, or by response code details which state that the proxy never sent the request.
 func readReport(in *extprocv3.ProcessingRequest, loadFields []string) report {
 	r := report{outcome: routing.Outcome{Status: balancer.Error}}
 	unprocessed := false
--- a/internal/front/extproc/response.go
+++ b/internal/front/extproc/response.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// skipBodies has the proxy send nothing after the request headers but the headers of the answer.
+// skipBodies tells the proxy to send, after the request's headers, only the headers of the answer.
 var skipBodies = &modev3.ProcessingMode{
 	RequestHeaderMode:   modev3.ProcessingMode_SEND,
 	ResponseHeaderMode:  modev3.ProcessingMode_SEND,
@@ -56,7 +56,7 @@
 	ResponseTrailerMode: modev3.ProcessingMode_SKIP,
 }
 
-// forwardResponse has the proxy send the request to an endpoint. attempt counts from 0.
+// forwardResponse tells the proxy to send the request to an endpoint. attempt counts from 0.
 func forwardResponse(address string, attempt int, remaining time.Duration) *extprocv3.ProcessingResponse {
 	milliseconds := strconv.FormatInt(max(1, remaining.Milliseconds()), 10)
 	mutation := &extprocv3.HeaderMutation{SetHeaders: []*corev3.HeaderValueOption{
@@ -80,7 +80,7 @@
 	}
 }
 
-// immediateResponse has the proxy answer the client at once.
+// immediateResponse tells the proxy to answer the client at once.
 func immediateResponse(code int, retryAfter routing.Micros, reason string) *extprocv3.ProcessingResponse {
 	immediate := &extprocv3.ImmediateResponse{
 		Status:  &typev3.HttpStatus{Code: typev3.StatusCode(code)},
--- a/internal/front/extproc/server.go
+++ b/internal/front/extproc/server.go
@@ -29,7 +29,7 @@
 	// backlogRetryAfter is the Retry-After of a request that is rejected because too many wait for the engine.
 	backlogRetryAfter routing.Micros = 1_000_000
 
-	// maxMessageBytes leaves space for a request's head, its attributes and metadata.
+	// maxMessageBytes bounds one message. It leaves space for a request's headers, attributes and metadata.
 	maxMessageBytes = 4 * httpmsg.MaxHeaderBytes
 
 	// A connection that answers no ping is closed, which ends its streams: requests must not stay reserved for callers
@@ -38,7 +38,7 @@
 	pingTimeout  = 5 * time.Second
 
 	// minCallerPingInterval is the minimum interval at which callers may send pings. Envoy's usual interval is 30 s;
-	// one ping a second is not yet treated as an attack.
+	// only more than one ping a second is treated as an attack.
 	minCallerPingInterval = time.Second
 
 	// streamGrace is how long a stream may stay open beyond the longest deadline of a class. A proxy ends a stream
--- a/internal/front/extproc/stream.go
+++ b/internal/front/extproc/stream.go
@@ -205,7 +205,7 @@
 			if !target.endpoint.Closed() {
 				return s.forward(target, decision.Attempt), nil
 			}
-			// The endpoint was removed or began to drain after the decision: the ledger makes another one.
+			// The endpoint was removed or began to drain after the decision: the ledger makes another decision.
 			s.server.engine.Post(func(balancer.Micros) { s.server.host.ledger.ForwardDiscarded(s.pending.id) })
 		case <-ctx.Done():
 			s.undelivered = true
@@ -214,7 +214,7 @@
 	}
 }
 
-// forward returns the response that has the proxy send the request to an endpoint.
+// forward returns the response that tells the proxy to send the request to an endpoint.
 func (s *stream) forward(target *forwardTarget, attempt int) *extprocv3.ProcessingResponse {
 	remaining := time.Duration(target.deadline-s.server.engine.Now()) * time.Microsecond
 	return forwardResponse(target.endpoint.Address, attempt, remaining)
--- a/internal/front/http3front/conn.go
+++ b/internal/front/http3front/conn.go
@@ -23,7 +23,8 @@
 }
 
 // checkCredentials reports whether the certificates of a connection are still valid, and if not the reason. Before the
-// handshake is complete the client's certificate is not known, and too little time has passed for a relevant change.
+// handshake is complete they count as valid: the client's certificate is not known, and too little time has passed for
+// a relevant change.
 func (c *clientConn) checkCredentials() (trusted bool, reason string) {
 	if c.mayBeEarlyData() {
 		return true, ""
--- a/internal/front/http3front/limits.go
+++ b/internal/front/http3front/limits.go
@@ -26,8 +26,8 @@
 	return ctx, nil
 }
 
-// requiresVerification reports whether a new connection's address must be verified first: under a flood of
-// connections, whose source addresses may be forged.
+// requiresVerification reports whether a new connection's address must be verified first, as it must be under a
+// flood of connections, whose source addresses may be forged.
 func (s *Server) requiresVerification(net.Addr) bool { return s.aboveUnverifiedRate(time.Now().Unix()) }
 
 // aboveUnverifiedRate counts a new connection in the given second, and reports whether there are too many in it.
--- a/internal/front/httpfront/conn.go
+++ b/internal/front/httpfront/conn.go
@@ -30,7 +30,7 @@
 	// Guarded by owner.mu.
 	list           *list.List // owner.idle, owner.receiving or nil
 	element        *list.Element
-	receivingSince time.Time // first byte of the request that is arriving
+	receivingSince time.Time // when the first byte of the request that is arriving was received
 	used           bool      // it has carried a request
 	uncounted      bool      // evicted or closed: not in owner.open
 	closed         bool
@@ -67,8 +67,8 @@
 }
 
 // interruptRead ends an idle connection by an expired read deadline, after which net/http closes it. It is not closed
-// here, so that a request that is read at the same time is still served. A request that is not read remains unread
-// when net/http closes, so that its client may send it again. The caller holds owner.mu.
+// here, so that a request that is read at the same time is still served. A request that arrives later is still unread
+// when net/http closes the connection, so that its client may send it again. The caller holds owner.mu.
 func (c *clientConn) interruptRead() {
 	_ = c.Conn.SetReadDeadline(expiredDeadline) // fails if the connection has ended already
 }
@@ -104,13 +104,14 @@
 }
 
 // readNextRequest returns bytes of the next request: those that were read ahead, or else those that are
-// received while no request is in flight. While one is, it reads ahead.
+// received while no request is in flight. While one is in flight, it reads ahead.
 func (c *clientConn) readNextRequest(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.activeReads++
 	defer func() { c.activeReads-- }()
-	// Scanned under the same lock as the bytes are delivered: requestStarted must see both or neither.
+	// deliver scans the bytes under the lock that is held until they are returned: requestStarted must see both or
+	// neither.
 	deliver := func(n int, err error) (int, error) {
 		c.head.Scan(p[:n])
 		return n, err
@@ -139,7 +140,7 @@
 	if len(c.readAhead) == 0 {
 		c.readAhead = nil
 	}
-	return deliver(n, nil) // an error received with it is returned by the next Read
+	return deliver(n, nil) // an error received with these bytes is returned by the next Read
 }
 
 // requestReceiving records that a part of a request has been received.
@@ -149,7 +150,7 @@
 	if c.closed || c.list == &c.owner.receiving {
 		return
 	}
-	if c.uncounted { // evicted concurrently: the request is served first
+	if c.uncounted { // evicted concurrently: the request is still served
 		c.uncounted = false
 		c.owner.open++
 		if c.used {
@@ -224,7 +225,7 @@
 	}
 }
 
-// hasAmbiguousLength reports whether the request's header states the length of its body in two ways.
+// hasAmbiguousLength reports whether the request's header states the length of its body more than once.
 func (c *clientConn) hasAmbiguousLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/front/httpfront/disconnect.go
+++ b/internal/front/httpfront/disconnect.go
@@ -18,7 +18,7 @@
 		return true // closed on this side
 	}
 	ended := false
-	// Not raw.Read, which would wait for the concurrent read of net/http to return.
+	// raw.Read is not used: it would wait for the concurrent read of net/http to return.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/front/httpfront/drain.go
+++ b/internal/front/httpfront/drain.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// defaultAcceptTime is how long new connections are accepted after SIGTERM: clients go on connecting
-	// for 0.4 s.
+	// defaultAcceptTime is how long new connections are accepted after SIGTERM, since clients go on
+	// connecting for 0.4 s.
 	defaultAcceptTime = 600 * time.Millisecond
 
-	// The platform kills the process, at the earliest, killDelay plus the longest class deadline after SIGTERM;
-	// of that deadline at most maxKillDelay counts. Requests in flight are answered killMargin earlier, so that
-	// the responses reach their clients.
+	// The platform kills the process no earlier than killDelay plus the longest class deadline after SIGTERM, where
+	// a deadline counts as at most maxKillDelay. Requests in flight are answered killMargin earlier, so that the
+	// responses reach their clients.
 	maxKillDelay = 3 * time.Second
 	killDelay    = 700 * time.Millisecond
 	killMargin   = 250 * time.Millisecond
--- a/internal/front/httpfront/listener.go
+++ b/internal/front/httpfront/listener.go
@@ -12,7 +12,7 @@
 	// slowRequestAfter is how long a request may take to arrive before its connection may be evicted: the
 	// application runs on the same host and sends it in one piece.
 	slowRequestAfter = 100 * time.Millisecond
-	// acceptIdleTime is how long no connection must have been accepted before a stopping listener is closed. Closing
+	// acceptIdleTime is how long a stopping listener must have accepted no connection before it is closed. Closing
 	// it resets the connections in its queue.
 	acceptIdleTime = 20 * time.Millisecond
 	// maxAcceptTime is the time after which a stopping listener is closed in any case.
@@ -22,7 +22,7 @@
 // expiredDeadline is a deadline that interrupts a Read.
 var expiredDeadline = time.Unix(1, 0)
 
-// clientListener accepts the connections of clients and bounds their number. It does so as they are
+// clientListener accepts the connections of clients and bounds their number. The limit applies when they are
 // accepted: a limit that acts on requests would let idle connections use up the sockets that attempts and
 // discovery need.
 type clientListener struct {
@@ -41,8 +41,8 @@
 	closeIdle bool      // used connections are closed once they are idle
 }
 
-// Accept returns the next connection. Beyond the limit it evicts the connection that has been idle longest.
-// If all have a request in flight, it closes the new one.
+// Accept returns the next connection. At the limit it evicts a connection without a request in flight. If none
+// can be evicted, it closes the new one.
 func (l *clientListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.acceptRetrying()
@@ -82,7 +82,7 @@
 	return ok && d.SetDeadline(time.Now().Add(acceptIdleTime)) == nil
 }
 
-// admit counts a new connection. At the limit it evicts another one; it returns false if there is none.
+// admit counts a new connection. At the limit it evicts another one; it returns false if none can be evicted.
 func (l *clientListener) admit(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +95,7 @@
 }
 
 // evict ends a connection without a request in flight: the one that has been idle longest, or else the one
-// whose request has been arriving longest. The caller holds l.mu.
+// whose request has been arriving longest, if for more than slowRequestAfter. The caller holds l.mu.
 func (l *clientListener) evict() bool {
 	if longest := l.idle.Front(); longest != nil {
 		c := longest.Value.(*clientConn)
--- a/internal/front/httpfront/server.go
+++ b/internal/front/httpfront/server.go
@@ -33,8 +33,8 @@
 // Options are the limits of a server.
 type Options struct {
 	Connections int // max open client connections
-	// KeepAliveThreshold is the number of connections that have carried a request above which a response closes its
-	// own.
+	// KeepAliveThreshold is the number of open connections that have carried a request above which each response
+	// closes its connection.
 	KeepAliveThreshold int
 	BodyBytes          int64               // max total body bytes of the requests in flight
 	Parser             *requestmeta.Parser // if nil, one is made from the engine's settings
@@ -57,8 +57,8 @@
 	opts          Options
 }
 
-// credentialed is a connection whose certificates may expire or be revoked while it is open: keep is false
-// if it should be closed after the next response, trusted if its client's certificate is still valid.
+// credentialed is a connection whose certificates may expire or be revoked while it is open. keep is false if it
+// should be closed after the next response; trusted is true if its client's certificate is still valid.
 type credentialed interface {
 	StateAt(now time.Time) (keep, trusted bool, reason string)
 }
@@ -171,8 +171,8 @@
 	// The deadline for reading the request would otherwise cancel its context while the response is awaited.
 	_ = c.SetReadDeadline(time.Time{}) // fails if the client has disconnected: net/http notices by itself
 	if !alone {
-		// Clients send one request at a time. Bytes that follow this one are not parsed: only the client's own
-		// framing says that they are a request.
+		// Clients send one request at a time. Bytes that follow this request are not parsed: only the client's own
+		// framing says that they are another request.
 		closeAfterResponse(w)
 		ctx, cancel := context.WithCancel(in.Context())
 		defer cancel()
@@ -244,10 +244,10 @@
 	exchange.WriteResponse(w, response)
 }
 
-// closeAfterResponse has a response close its connection.
+// closeAfterResponse makes a response close its connection.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// closeWhileDraining has a response close its connection if the service is draining.
+// closeWhileDraining makes a response close its connection if the service is draining.
 func (s *Server) closeWhileDraining(w http.ResponseWriter) {
 	if s.draining() {
 		closeAfterResponse(w)
--- a/internal/requestmeta/deadline.go
+++ b/internal/requestmeta/deadline.go
@@ -10,7 +10,7 @@
 // MaxRequestTime is the longest time that a request may take, whatever its client asks for.
 const MaxRequestTime = time.Minute
 
-// ResponseMargin is the part of a client's time reserved for writing the response: some clients have only 40 ms.
+// ResponseMargin is the part of a client's time reserved for writing the response. Some clients have only 40 ms in all.
 const ResponseMargin = 2 * time.Millisecond
 
 const microsPerMilli = 1000
--- a/internal/requestmeta/parse.go
+++ b/internal/requestmeta/parse.go
@@ -10,7 +10,7 @@
 	"pinedale/balancer"
 )
 
-// maxIDBytes is the maximum length of an id or idempotency key. Those of the protocol have 16 and 32 bytes.
+// maxIDBytes is the maximum length of an id or idempotency key. In the protocol these have 16 and 32 bytes.
 const maxIDBytes = 256
 
 // The headers of a request.
@@ -25,8 +25,8 @@
 	HeaderKey      = "Idempotency-Key"
 )
 
-// singleValueHeaders may occur only once. Otherwise another hop could use the second value where this one uses the
-// first.
+// singleValueHeaders may occur only once. Otherwise another proxy on the path could use the second value where this
+// parser uses the first.
 var singleValueHeaders = []string{HeaderID, HeaderClass, HeaderTenant, HeaderSubject, HeaderTimeLeft, HeaderRepeat,
 	HeaderHint, HeaderKey}
 
--- a/internal/requestmeta/router.go
+++ b/internal/requestmeta/router.go
@@ -12,11 +12,11 @@
 	Class            uint8 // number of the class in the balancer's settings
 	ClassName        string
 	Idempotency      balancer.Idempotency
-	RestrictsMethods bool            // the route lists its methods, so that the class's does not apply
+	RestrictsMethods bool            // the route lists its methods, which replace the method required by the class
 	Deadline         balancer.Micros // longest time for a request
-	AttemptTimeout   balancer.Micros // balancer.Request.AttemptTimeout
+	AttemptTimeout   balancer.Micros // as in balancer.Request
 
-	// These have the meaning of the same fields of balancer.Request.
+	// These, too, have the meaning of the same fields of balancer.Request.
 	HedgeDelay  balancer.Micros
 	MaxAttempts int
 	NoHedging   bool
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -270,7 +270,7 @@
 	return path + "." + key
 }
 
-// separators are the characters that may not occur in a value of the settings text.
+// separators replaces the characters that may not occur in a value of the settings text.
 var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
 // scalar returns the text of a value that is neither a list nor an object.
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// If a file is being written when the signal arrives, the write ends within some milliseconds. The
-	// platform expects a reload to be in effect 4 s after the signal.
+	// reloadRetryInterval is short: a file that is being written when the signal arrives is complete within
+	// some milliseconds, and the platform expects a reload to be in effect 4 s after the signal.
 	reloadRetryInterval = 50 * time.Millisecond
-	// reloadRetryTime is how long an unusable file is read again before the reload is abandoned.
+	// reloadRetryTime is how long the reading of an unusable file is retried before the reload is abandoned.
 	reloadRetryTime  = 10 * time.Second
 	maxReloadRetries = int(reloadRetryTime / reloadRetryInterval)
 )
 
 // ReloadOnSignal reads the configuration file again at each signal and sends the result on the channel
 // that it returns. While the file cannot be used, the previous configuration stays in effect, the reason
-// is logged once, and the file is read again until it can be used, reloadRetryTime has passed or the next
-// signal arrives. The goroutine ends, and the channel is closed, when signals is closed. Callers other
-// than tests pass time.After as after.
+// is logged once, and the file is read again until it can be used or reloadRetryTime has passed; a further
+// signal starts this anew. Once signals is closed and no reload is in progress, the goroutine ends and the
+// channel is closed. after is time.After, except in tests.
 func ReloadOnSignal(path string, signals <-chan os.Signal, after func(time.Duration) <-chan time.Time,
 	log *slog.Logger) <-chan *Config {
 	reloads := make(chan *Config)
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -16,15 +16,15 @@
 
 const (
 	reservedSockets = 32 // for discovery, logs and the runtime
-	// Client connections are kept alive after a response while they use up to 1/6 of the sockets. With those that
-	// have requests in flight, they use at most three times as many (see maxConnections).
+	// Client connections are kept alive after a response while they use at most 1/6 of the sockets. Including
+	// those with requests in flight, they use at most three times as many (see maxConnections).
 	keepAliveDivisor  = 6
 	bodyMemoryDivisor = 8 // request bodies may use 1/8 of the memory limit
 	bytesPerMB        = 1 << 20
 )
 
 // maxConnections returns the limit of client connections, which is also the limit of connections to
-// endpoints: each client request has one attempt at a time.
+// endpoints: apart from hedges, each client request has one attempt at a time.
 func maxConnections(cfg *Config) int { return (cfg.Limits.Sockets - reservedSockets) / 2 }
 
 // upstreamOptions returns the configured options of connections to endpoints.
--- a/internal/upstream/attempt/attempt.go
+++ b/internal/upstream/attempt/attempt.go
@@ -37,8 +37,7 @@
 	}()
 }
 
-// sendWithBounds sends the request with the attempt's context, to which it attaches the contexts
-// that end earlier: those that end when the request must no longer be written.
+// sendWithBounds sends the request with the attempt's context, to which it attaches sendBounds.
 func (c *carrier) sendWithBounds(ctx context.Context, a *engine.Attempt) engine.Result {
 	sendContext, cancel := context.WithDeadline(ctx, a.SendByTime())
 	defer cancel()
--- a/internal/upstream/attempt/doc.go
+++ b/internal/upstream/attempt/doc.go
@@ -5,7 +5,7 @@
 // An outcome states whether the request may have run on the endpoint:
 //
 //	NotSent        the sidecar itself did not send it: it never ran
-//	ConnectFailed  the last byte was never written, by a fault of the endpoint or of the network
+//	ConnectFailed  the last byte was never written, due to a fault of the endpoint or of the network
 //	               path: it never ran
 //	Full           the endpoint rejected it and states that it did not process it
 //	               (503 or 504 with X-Unprocessed: 1): it never ran
@@ -14,8 +14,8 @@
 //	Timeout, Cancelled, Reset
 //	               written, perhaps in part, without a complete response: it may have run
 //
-// In doubt a request counts as one that may have run. A reset is not a response: the endpoint may
-// process the request after it.
+// In doubt, a request counts as one that may have run. A reset is not a response: the endpoint may
+// still process the request after it.
 //
 // The package has no state. Each attempt runs on one goroutine of its own, which ends with the
 // attempt's context at the latest and reports exactly one result to the engine.
--- a/internal/upstream/attempt/outcome.go
+++ b/internal/upstream/attempt/outcome.go
@@ -41,9 +41,9 @@
 // no complete response: it may have run.
 func InterruptedStatus(ctx context.Context) balancer.Status {
 	switch deadline, ok := ctx.Deadline(); {
-	// By the clock: the balancer's own timer for the same instant may have cancelled the attempt
-	// already. If that were reported as a cancellation, the balancer would not notice that the
-	// endpoint is unresponsive.
+	// The clock is checked first: the balancer's own timer for the same instant may have cancelled
+	// the attempt already. If that were reported as a cancellation, the balancer would not notice
+	// that the endpoint is unresponsive.
 	case ok && !time.Now().Before(deadline):
 		return balancer.Timeout
 	case ctx.Err() != nil:
--- a/internal/upstream/byprotocol/byprotocol.go
+++ b/internal/upstream/byprotocol/byprotocol.go
@@ -2,7 +2,7 @@
 // all others.
 //
 // Each attempt uses one protocol. An attempt that could not be sent is not repeated over the
-// other one: its outcome is that it did not run, and the balancer decides whether to retry.
+// other one: its outcome states that it did not run, and the balancer decides whether to retry.
 // Package protocol chooses the protocol; its state is guarded by Upstream.mu and lost on a restart.
 package byprotocol
 
--- a/internal/upstream/handshake/handshake.go
+++ b/internal/upstream/handshake/handshake.go
@@ -54,8 +54,8 @@
 
 // RequestTurn returns the instant at which a handshake with a server may begin. startedAt is the
 // time at which the server started, or zero if it is past its slow start. A granted turn is used
-// up, whether or not the handshake takes place. If there is no turn within maxWait, ok is false
-// and nothing is used up.
+// up, whether or not the handshake takes place. If there is no turn within maxWait, or none at once
+// for background work, ok is false and nothing is used up.
 func (b *Budget) RequestTurn(now time.Time, server string, startedAt time.Time, kind Kind, maxWait time.Duration) (
 	begin time.Time, ok bool) {
 	if b.epoch.IsZero() {
@@ -104,7 +104,7 @@
 	return state
 }
 
-// removeIdle removes servers that have their full burst again: their state equals a new one.
+// removeIdle removes servers that have their full burst again: their state is equivalent to a new one.
 func (b *Budget) removeIdle(instant float64) {
 	for server, state := range b.servers {
 		if state.arrival <= instant {
--- a/internal/upstream/http3upstream/pool.go
+++ b/internal/upstream/http3upstream/pool.go
@@ -16,14 +16,14 @@
 )
 
 // idleTimeout is how long a connection may receive no packets before it is closed as broken.
-// Keep-alive packets at a third of it show that the network path works.
+// Keep-alive packets, sent at a third of this interval, show that the network path works.
 const idleTimeout = 5 * time.Second
 
 // conn is a connection, which may still be being dialled.
 type conn struct {
 	target *engine.Target
 
-	// ready is closed once the dial has ended. The next fields are set before that and not
+	// ready is closed once the dial has ended. The next four fields are set before that and not
 	// modified afterwards.
 	ready  chan struct{}
 	quic   *quic.Conn
@@ -80,8 +80,8 @@
 	}
 }
 
-// drainLocked lets a connection accept no new requests, and closes it once it has none in flight.
-// The caller holds u.mu.
+// drainLocked stops new requests on a connection, and closes it once it has none in flight. The
+// caller holds u.mu.
 func (u *Upstream) drainLocked(c *conn) {
 	if !c.draining {
 		c.draining = true
@@ -140,8 +140,8 @@
 		return nil, attempt.ErrClosed
 	}
 	c := u.conns[t]
-	// usable is called here and not in Prune, which runs on the engine's goroutine: after a
-	// change of keys it verifies a certificate chain.
+	// usable is called here and not in Prune: after a change of keys it verifies a certificate
+	// chain, which takes too long on the engine's goroutine, where Prune runs.
 	if c != nil && (c.isBroken() || c.isReady() && !c.usable(time.Now())) {
 		u.drainLocked(c)
 		c = nil
@@ -171,14 +171,14 @@
 }
 
 // dial establishes a connection and reports the result. All requests that wait for the connection
-// share it, so it does not end with the context of one of them.
+// share the dial, so it does not end with the context of one of them.
 func (u *Upstream) dial(c *conn, probe bool) {
 	ctx, cancel := context.WithTimeout(u.ctx, u.options.DialTimeout)
 	defer cancel()
 	if probe {
 		ctx = attempt.ForProbe(ctx)
 	}
-	// The resolution of a name may take long: Close waits only for the handshake.
+	// Resolving a name may take long, so Close does not wait for that, only for the handshake.
 	address, err := net.ResolveUDPAddr("udp", c.target.Address)
 	if u.trackGoroutine() {
 		defer u.running.Done()
--- a/internal/upstream/http3upstream/streamwait.go
+++ b/internal/upstream/http3upstream/streamwait.go
@@ -37,7 +37,7 @@
 }
 
 // expire cancels a request that has no stream, if the endpoint accepts none. If it accepts one, the
-// delay is due to this process, which was not scheduled, and not to the endpoint: the wait goes on.
+// endpoint did not cause the delay: this process was not scheduled in time, and the wait goes on.
 func (w *streamWait) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/upstream/http3upstream/upstream.go
+++ b/internal/upstream/http3upstream/upstream.go
@@ -40,8 +40,8 @@
 	Connections int           // limit of open connections, including those being dialled
 	Fields      []string      // fields of load reports, in the order of the settings
 
-	// OnProtocolResult, if set, is called with the result each time that a connection or a stream
-	// was needed. It must not call back into the Upstream.
+	// OnProtocolResult, if set, is called with the results of dials and of Preconnect, and with
+	// protocol.Failed if a request got no stream. It must not call back into the Upstream.
 	OnProtocolResult func(t *engine.Target, result protocol.Result)
 }
 
--- a/internal/upstream/httpupstream/conn.go
+++ b/internal/upstream/httpupstream/conn.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// isUsable reports whether keys and trust still allow new requests on the connection. After a
-// change of keys it verifies a certificate chain, which takes too long for Prune: that runs on
-// the engine's goroutine.
+// isUsable reports whether keys and trust still allow new requests on the connection. Prune does
+// not call it: after a change of keys it verifies a certificate chain, which takes too long on
+// the engine's goroutine, where Prune runs.
 func (c *conn) isUsable(now time.Time) bool { return c.session == nil || c.session.Usable(now) }
 
 // isAlive reports whether an idle connection is open and has no unread bytes. An endpoint may
--- a/internal/upstream/httpupstream/doc.go
+++ b/internal/upstream/httpupstream/doc.go
@@ -7,7 +7,7 @@
 // it may have run.
 //
 // One connection carries one request at a time. A connection that broke, was cancelled, or
-// delivered bytes beyond one response is closed; others are cached as idle by endpoint:
+// delivered bytes beyond one response is closed; others are kept as idle, by endpoint.
 //
 //	upstream.go  Upstream, its options, one attempt
 //	pool.go      the idle connections and the limit of open ones
--- a/internal/upstream/httpupstream/exchange.go
+++ b/internal/upstream/httpupstream/exchange.go
@@ -37,8 +37,8 @@
 	if c.target.Closed() {
 		return nil, &attempt.UnsentError{Cause: attempt.ErrClosed}
 	}
-	// Checked before isAlive: to an attempt whose context has ended this connection, and every
-	// other idle one, would look dead.
+	// Checked before isAlive, which reports this connection, and every other idle one that is
+	// tried, as dead once the attempt's context has ended.
 	if err := attempt.CheckBeforeWrite(ctx); err != nil {
 		reusable = true
 		return nil, &attempt.UnsentError{Cause: err}
@@ -60,7 +60,7 @@
 	start := time.Now()
 	stopDeadline := context.AfterFunc(attempt.SendContext(ctx), func() { _ = c.SetWriteDeadline(pastDeadline) })
 	n, err := c.Write(data)
-	writable := stopDeadline() // otherwise the write deadline has passed permanently
+	writable := stopDeadline() // if false, the write deadline stays in the past
 	if n < len(data) {
 		u.observeIdle(ctx, c, start, err)
 		return nil, false, &attempt.UnsentError{Cause: err}
@@ -75,8 +75,8 @@
 	return response, writable && reusable && c.reader.Buffered() == 0, nil
 }
 
-// observeIdle records whether a connection that had been idle until start was reset. An attempt
-// that was cancelled, or a connection that breaks later, does not show how idle time affects it.
+// observeIdle records whether a connection that had been idle until start was reset. It ignores
+// cancelled attempts and connections that break later: they show nothing about the idle time.
 func (u *Upstream) observeIdle(ctx context.Context, c *conn, start time.Time, err error) {
 	if !c.used {
 		return
--- a/internal/upstream/httpupstream/pool.go
+++ b/internal/upstream/httpupstream/pool.go
@@ -10,8 +10,8 @@
 	"pinedale/internal/upstream/attempt"
 )
 
-// connect returns the most recently used connection to t that has settled. If none has, it waits
-// for one to settle; if none is idle, it opens one.
+// connect returns the most recently used connection to t that has settled (see defaultSettleTime).
+// If none has, it waits for one to settle; if none is idle, it opens one.
 func (u *Upstream) connect(ctx context.Context, t *engine.Target) (*conn, error) {
 	c, err := u.reserve(t)
 	if err != nil {
@@ -90,8 +90,8 @@
 }
 
 // takeIdleLocked returns a usable idle connection to t, or nil: the most recently used of those
-// that have settled, or else the one that settles first, which is usually sooner than a new one
-// could be established. It closes unusable ones that it encounters. The caller holds u.mu.
+// that have settled, or else the one that settles first, which usually takes less time than to
+// open a new one. It closes unusable ones that it encounters. The caller holds u.mu.
 func (u *Upstream) takeIdleLocked(t *engine.Target) *conn {
 	now := time.Now()
 	limit := u.idleEstimator.Limit(now, u.maxIdle)
--- a/internal/upstream/httpupstream/response.go
+++ b/internal/upstream/httpupstream/response.go
@@ -66,7 +66,7 @@
 
 // checkLength rejects a response that is too long, and a 200 that cannot be proven complete: it
 // must either state one length or be chunked. A body that ends with the connection may be
-// truncated, and if both are present, http.ReadResponse hides the length.
+// truncated, and if a length is stated for a chunked body, http.ReadResponse hides it.
 func checkLength(head httpmsg.HeadScan, response *http.Response) error {
 	ambiguous := head.ContentLengthLines > 1 || (head.ContentLengthLines == 1) == head.HasTransferEncoding
 	if response.StatusCode == http.StatusOK && ambiguous {
--- a/internal/upstream/httpupstream/upstream.go
+++ b/internal/upstream/httpupstream/upstream.go
@@ -12,9 +12,9 @@
 	"pinedale/internal/upstream/idle"
 )
 
-// defaultSettleTime is how long a connection is not reused after a response. Endpoints may send a
-// second response some milliseconds after the first. A request written in between would get it as
-// its own response: the check for unread bytes before the write cannot see it yet.
+// defaultSettleTime is the time after a response until a connection has settled and is reused.
+// Endpoints may send a second response some milliseconds after the first. A request written in
+// between would be answered with the second one, which arrives after the check for unread bytes.
 const defaultSettleTime = 10 * time.Millisecond
 
 // errStale is the error for an idle connection that turns out to be unusable before anything was
--- a/internal/upstream/idle/idle.go
+++ b/internal/upstream/idle/idle.go
@@ -19,12 +19,12 @@
 	// binCount is the number of bins of idle time, each twice as wide as the one before.
 	binCount = 12
 	// minIdleTime is the upper bound of the first bin. An idle time this short does not cause a
-	// connection to be dropped, so that the bin's resets are the baseline.
+	// connection to be dropped: the resets in this bin are the baseline.
 	minIdleTime = 25 * time.Millisecond
 	// decayHalfLife is the half-life of observations. Once they have decayed, longer idle times
-	// are tried again, with as many requests as it takes to prove that they are still reset.
+	// are used again, until enough requests have been reset to restore the limit.
 	decayHalfLife = 10 * time.Second
-	// resetMargin is the ratio of resets above the baseline from which a new connection is cheaper.
+	// resetMargin is the ratio of resets in excess of the baseline above which a new connection is cheaper.
 	resetMargin = 0.1
 	// confidenceSigmas is the number of standard deviations by which resets must exceed the margin.
 	confidenceSigmas = 2
@@ -40,10 +40,10 @@
 type Estimator struct {
 	bins      [binCount]counts
 	updatedAt time.Time // all bins are decayed to this instant
-	limitBin  int       // first bin whose idle times are not used; 0 if all are
+	limitBin  int       // first bin whose idle times are not allowed; 0 if all are allowed
 }
 
-// counts are the decayed observations of one bin.
+// counts holds the decayed observations of one bin.
 type counts struct{ uses, resets float64 }
 
 // binIndex returns the bin of an idle time.
@@ -81,9 +81,9 @@
 	e.updatedAt = now
 }
 
-// updateLimit finds the first bin from which on resets exceed the baseline. A bin without
-// observations is judged by all longer idle times together, since a connection that was closed
-// after a shorter time stays closed.
+// updateLimit finds the first bin whose resets exceed the baseline. A bin without observations is
+// judged by those of all longer idle times together, since the connections that were reset there
+// may have been dropped after a shorter time.
 func (e *Estimator) updateLimit() {
 	e.limitBin = 0
 	baseline := e.bins[0].resets / max(1, e.bins[0].uses)
--- a/internal/upstream/protocol/protocol.go
+++ b/internal/upstream/protocol/protocol.go
@@ -21,8 +21,8 @@
 	deferredDelay  = time.Second // by then the handshake rate limit usually allows another handshake
 )
 
-// Result is the result of an attempt to use HTTP/3 at an address. The outcome of a request after
-// that says nothing about the protocol.
+// Result is the result of an attempt to use HTTP/3 at an address. The outcome of the request that
+// is then sent says nothing about the protocol.
 type Result uint8
 
 // The results of an attempt to use HTTP/3.
--- a/internal/upstream/secure/conn.go
+++ b/internal/upstream/secure/conn.go
@@ -23,7 +23,7 @@
 	client *Client
 	server string // name in membership
 	name   string // name in the certificate
-	names  *Names // names by which name was last confirmed
+	names  *Names // names against which name was last checked
 }
 
 // isUsable reports whether the connection may carry new requests. It must not be called
--- a/internal/upstream/secure/handshake.go
+++ b/internal/upstream/secure/handshake.go
@@ -55,7 +55,7 @@
 }
 
 // fail counts and logs the failure of a handshake, and returns err. It invalidates the target's
-// cached sessions, one of which the handshake may have resumed, so that the next one is full.
+// cached sessions, one of which may have been resumed, so that the next handshake is a full one.
 func (h *clientHandshake) fail(err error) error {
 	h.client.sessions.invalidate(h.target)
 	reason := failureReason(err)
@@ -154,8 +154,8 @@
 	return connLifetime.isUsable
 }
 
-// Reasons of failed handshakes other than the rules of certificates, as stated in counters and log
-// events.
+// Reasons why a handshake failed, as stated in counters and log events. For a rejected certificate
+// the violated rule is stated instead.
 const (
 	reasonTimeout   = "silent"
 	reasonCancelled = "called off"
--- a/internal/upstream/secure/sessions.go
+++ b/internal/upstream/secure/sessions.go
@@ -14,7 +14,7 @@
 	protocolHTTP3 = "h3"
 )
 
-// sessionStore holds the state needed to resume sessions with servers, bounded over all servers.
+// sessionStore holds the state needed to resume sessions with servers, at most capacity sessions over all servers.
 //
 //	a session is used         with the same incarnation of a server (address and start time), and
 //	                          under the same keys and roots that it began under
@@ -23,8 +23,8 @@
 //	a session is evicted      when the store is at capacity and it is the least recently used
 //
 // A session proves only that the server is the one that was verified when the session began.
-// Whenever it is resumed, its certificate chain is therefore verified again, by the current roots
-// and time (certstore.Store.Client).
+// Whenever it is resumed, the server's certificate chain is therefore verified again, against the
+// current roots and time (certstore.Store.Client).
 type sessionStore struct {
 	mu       sync.Mutex
 	capacity int
@@ -56,7 +56,7 @@
 }
 
 // sessionCache is the view that one handshake has of the store. It implements tls.ClientSessionCache,
-// whose key it ignores: that is a name, which several incarnations of a server share.
+// but ignores the key that crypto/tls passes: a name, which several incarnations of a server share.
 type sessionCache struct {
 	store *sessionStore
 	sessionKey
@@ -80,9 +80,9 @@
 	return session.state, true
 }
 
-// Put stores a session, or removes it if state is nil: crypto/tls has found it invalid. A ticket
-// may arrive long after its handshake: it is stored under that handshake's keys, and dropped if
-// the target has been removed.
+// Put stores a session, or removes it if state is nil, as it is when crypto/tls has found the
+// session invalid. A ticket may arrive long after its handshake: it is stored under the generation
+// of that handshake, and dropped if the target has been removed.
 func (c *sessionCache) Put(_ string, state *tls.ClientSessionState) {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
