--- a/balancer/api.go
+++ b/balancer/api.go
@@ -40,8 +40,8 @@
 	ListPart                   // changed entries of a list of which further parts follow
 )
 
-// Request is a client's request. It gets exactly one final answer: an outcome that settles it, Actions.Reject or
-// Actions.Fail.
+// Request is a client's request. It gets exactly one final answer: the outcome of an attempt, if that is OK or Settled,
+// or else Actions.Reject or Actions.Fail.
 type Request struct {
 	ID          uint64
 	Key         uint64
@@ -56,7 +56,7 @@
 	NoHedging   bool // the request is never hedged, even if the limits permit it
 
 	AttemptTimeout Micros // timeout of one attempt; 0 for all the time until the deadline
-	HedgeDelay     Micros // delay after which a pending first attempt is hedged; 0 for the default
+	HedgeDelay     Micros // delay after which a pending first attempt is hedged; 0 for the class's HedgeQuantile
 	Budget         uint16 // index into Settings.Budgets, counted from 1; 0 for the shared budget
 	Pool           uint8  // pool that the request is restricted to, 1 to 64; 0 for all endpoints
 
@@ -89,11 +89,11 @@
 	NotSent              // not written to a connection
 )
 
-// Outcome is the result of an attempt. Load is valid only during the call.
+// Outcome is the result of an attempt. Load is valid only during the call, and no decision reads it.
 type Outcome struct {
 	ID       uint64
 	Attempt  int    // index of the attempt in the order of sending, from 0
-	Endpoint uint32 // that handled the attempt, which may differ from the one it was sent to
+	Endpoint uint32 // the endpoint that handled the attempt, which may differ from the one it was sent to
 	Status   Status
 	Latency  Micros
 	Settled  bool // the request has its final answer
@@ -103,8 +103,9 @@
 // Actions is implemented by the host to carry out the decisions of a balancer. The methods are called from within event
 // methods, in the order in which the actions are to take effect.
 type Actions interface {
-	// Send starts an attempt; a timeout of 0 means until the client's deadline. The attempt must be written no later
-	// than the instant by, or not at all: a later one could have a second effect, or its answer would come too late.
+	// Send starts an attempt; a timeout of 0 means until the client's deadline. The attempt must be written by the
+	// instant that the parameter by gives, or not at all: if it were written later, it could have a second effect, or
+	// its answer would come too late.
 	Send(id uint64, endpoint uint32, timeout, by Micros)
 	// Reject gives a final answer that guarantees that a retry is harmless.
 	Reject(id uint64, retryAfter Micros)
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -1,7 +1,7 @@
 package balancer
 
 const (
-	budgetBurst    = 10.0 // attempts that the shared retry budget and the hedge budget hold at most
+	budgetBurst    = 10.0 // most attempts that the shared retry budget and the hedge budget can each hold
 	retryEarnRatio = 0.2  // retries that each request adds to the shared budget
 )
 
@@ -125,8 +125,8 @@
 // neverRan reports whether a status proves that the attempt had no effect.
 func (s Status) neverRan() bool { return s == Full || s == ConnectFailed || s == NotSent }
 
-// dropped reports whether an attempt was lost: later attempts were answered, or the endpoint has not
-// responded since.
+// dropped reports whether an attempt seems to have been lost: the endpoint has answered a later attempt, or
+// has not responded since this one was sent.
 func (a *attempt) dropped(status Status) bool {
 	switch status {
 	case Cancelled:
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -14,9 +14,9 @@
 	}
 }
 
-// Every request ends through send, reject or fail. Only these functions enforce the rules, so that the rules
-// hold regardless of the other decisions: no second effect, one final answer, nothing sent to a draining
-// endpoint, and the limits of slow start.
+// Only send starts an attempt, and only reject and fail give a final answer to a request in the ledger. They
+// enforce the rules regardless of the other decisions: no second effect, one final answer, nothing sent to a
+// draining endpoint, and the limits of slow start.
 
 // finish marks a request as answered and cancels its pending attempts. The record stays in the ledger until
 // the last outcome is reported.
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -12,8 +12,8 @@
 	latencyActivation = 3    // multiple of the baseline latency above which requests are rejected for latency
 	ceilingRatio      = 0.95 // ratio of the timeout at which maxLatencyChance is reached
 	maxLatencyChance  = 0.3  // highest probability of a rejection for latency
-	fallDivisor       = 4    // 1/weight in the baseline of a latency below the baseline
-	riseDivisor       = 100  // 1/weight in the baseline of a latency above the baseline
+	fallDivisor       = 4    // 1/weight, in the baseline, of a latency below the baseline
+	riseDivisor       = 100  // 1/weight, in the baseline, of a latency above the baseline
 	currentDivisor    = 4    // 1/weight of any latency in the current average
 )
 
@@ -52,7 +52,7 @@
 }
 
 // breakerAllows decides at random whether the breaker admits a request. A rejected request counts as one
-// without accept. Once every trialPause a request is admitted as a trial.
+// without an accept. Once per trialPause a request is admitted as a trial.
 func (b *Balancer) breakerAllows(now Micros, r *request, e *endpoint) bool {
 	timeout := float64(b.classOf(r).ClientTimeout)
 	chance := max(e.breaker.errorChance(now), e.breaker.latencyChance(timeout))
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -2,8 +2,8 @@
 
 const (
 	randomDraws = 8 // random draws before the endpoints are searched in order
-	// maxCandidates bounds the number of endpoints that one decision examines: of those with a fresh report,
-	// and in a search, of each part of a group. Fleets of at most this size are searched completely.
+	// maxCandidates bounds the number of endpoints that one decision examines: those with a fresh report, and in
+	// a search those of each part of a group. Fleets of at most this size are searched completely.
 	maxCandidates = 200
 )
 
@@ -28,8 +28,8 @@
 }
 
 // drawRandom returns a random endpoint that r may be sent to, in this zone or within maxRoundTrip, or nil.
-// If random draws find none, it searches for any, warm endpoints first. Ejected endpoints are used only if no
-// other is available.
+// If random draws find none, it searches the group regardless of maxRoundTrip, warm endpoints first. Ejected
+// endpoints are used only if no other is available.
 func (b *Balancer) drawRandom(now Micros, r *request, exclude *endpoint, maxRoundTrip float64) *endpoint {
 	group := b.candidateGroup(r)
 	if group == nil || group.len() == 0 || !b.mayAttempt(now, r) {
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -15,9 +15,9 @@
 //
 //   - No request takes effect twice: an attempt that may have run is repeated only as the Idempotency of its class
 //     permits, within the group of endpoints and the time window in which duplicates are dropped.
-//   - No request is lost: each has exactly one final answer, at its deadline at the latest.
+//   - No request is lost: each has exactly one final answer, which is given, or starts to be streamed, by its deadline.
 //   - Nothing is sent to a draining or removed endpoint.
-//   - An endpoint in slow start is sent no more than its part of the fleet's traffic.
+//   - An endpoint in slow start is sent work only in proportion to the capacity that it has so far.
 //
 // Decisions, by file:
 //
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	failureWeight          = 0.5  // of the latest outcome in the ratio: healthy endpoints hardly ever fail
-	transportFailureWeight = 0.25 // of a network failure: healthy endpoints lose connections too
+	failureWeight          = 0.5  // weight of the latest outcome; high, as healthy endpoints hardly ever fail
+	transportFailureWeight = 0.25 // weight of a network failure: healthy endpoints lose connections too
 	ejectionThreshold      = 0.4  // failure ratio from which an endpoint is ejected
 	failureHalfLife        = 3 * second
 	minFailureRatio        = 0.01 // lower ratios count as 0
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -27,7 +27,7 @@
 	breaker    breaker
 }
 
-// capacityRatio returns the ratio of its full capacity that e has at least by now.
+// capacityRatio returns the lowest capacity that e can have now, as a ratio of its full capacity.
 func (e *endpoint) capacityRatio(now Micros, b *Balancer) float64 {
 	if !e.inSlowStart(now, b) {
 		return 1
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -3,7 +3,7 @@
 import "container/heap"
 
 // endpointSet holds the endpoints that discovery has listed, and groups of those that are ready. The cost of changing
-// one endpoint does not depend on their number.
+// one endpoint does not depend on the number of endpoints.
 type endpointSet struct {
 	byID       map[uint32]*endpoint
 	list       []*endpoint // unordered
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -7,7 +7,7 @@
 	work         ewma   // mean work of a request, in µs
 	arrivals     meter  // requests received
 	onTime       ewma   // ratio of requests answered within the latency objective
-	hedgeLatency ewma   // latency at HedgeQuantile, in µs; 0 without one
+	hedgeLatency ewma   // latency at HedgeQuantile, in µs; 0 if no quantile is set
 	trialAt      Micros // when a request over its latency limit was last sent as a trial
 	sinceTrial   int    // requests over their latency limit since then
 }
@@ -113,9 +113,9 @@
 	baseline.value = max(0, baseline.value)
 }
 
-// update shifts the predictions for all endpoints by one outcome, given as the ratio of observed to predicted
-// latency. When the whole fleet slows down or recovers, endpoints that receive little of this balancer's traffic
-// would otherwise be updated far too late.
+// update adjusts the predictions for all endpoints to one outcome, given as the ratio of observed to predicted
+// latency. When the whole fleet slows down or recovers, the predictions for endpoints that receive little of this
+// balancer's traffic would otherwise be updated far too late.
 func (t *latencyTrend) update(ratio float64) {
 	factor := 1 + trendWeight*(min(ratio, maxTrendSample)-1)
 	t.ratio = min(maxTrend, max(1/maxTrend, t.ratio*factor))
--- a/balancer/eventlog.go
+++ b/balancer/eventlog.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// logRetry logs a retry of r after an attempt at the endpoint failed ended with this status.
+// logRetry logs a retry of r after an attempt ended with this status at an endpoint.
 func (b *Balancer) logRetry(now Micros, r *request, failed *endpoint, status Status) {
 	if count := b.countForLog(now, event{"request retried", status.String()}); count > 0 {
 		b.actions.Log("request retried", "request", r.ID, "endpoint", failed.ID, "status", status.String(),
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -6,7 +6,7 @@
 	droppedWeight     = 0.02 // weight of the latest outcome in the ratio of dropped attempts
 	minDroppedRatio   = 0.01 // ratio of dropped attempts from which overdue attempts are hedged
 	overdueMultiple   = 2.5  // multiple of its expected latency after which an attempt is overdue
-	minOverdueRatio   = 0.25 // earliest time at which an attempt is overdue, as a ratio of the latency objective
+	minOverdueRatio   = 0.25 // shortest time until an attempt is overdue, as a ratio of the latency objective
 )
 
 // hedgeDelay returns how long the first attempt may be pending before it is hedged even if nothing shows that
--- a/balancer/key_records.go
+++ b/balancer/key_records.go
@@ -1,11 +1,11 @@
 package balancer
 
 // affinity classifies an endpoint for a request's key: 0 for a request without key, otherwise notOwner, zoneOwner or
-// fleetOwner plus an age bucket. The last bucket covers a key not sent there for long, or never.
+// fleetOwner plus an age bucket. The last bucket is for a key that was sent there long ago or never.
 type affinity uint8
 
 const (
-	maxKeys     = 4096       // in one generation; three times as many as any known deployment has
+	maxKeys     = 4096       // keys in one generation; three times as many as any known deployment has
 	sendsPerKey = 4          // endpoints recorded for a key
 	minKeyAge   = second / 2 // upper limit of the first age bucket
 
--- a/balancer/keys.go
+++ b/balancer/keys.go
@@ -8,7 +8,7 @@
 // other endpoints, and by how long ago this balancer last sent the key there. All balancers agree on a key's
 // owners without communication, by weighted rendezvous hashing (Thaler and Ravishankar, 1998), so that the
 // requests of other balancers keep the key cached at its owners. A key has one owner in the fleet and one in
-// each zone, which is preferred while leaving the zone costs more than the cache of the fleet owner saves.
+// each zone; the latter is preferred while leaving the zone costs more than the fleet owner's cache saves.
 
 const (
 	workRatioWeight = 0.003 // weight of the latest sample; low, as work varies by more than its mean
@@ -16,9 +16,9 @@
 )
 
 // Work ratios before anything is learned, by age for endpoints that are not owners. They favour owners more
-// than a cache saves: endpoints see few enough keys to keep them cached only if all balancers send most
-// requests to owners, and that helps the fleet more than a single request. Samples correct the ratios if
-// nothing is saved.
+// than a cache saves for a single request: endpoints see few enough keys to keep them cached only if all
+// balancers send most requests to owners, which helps the whole fleet. If the cache saves nothing, samples
+// correct the ratios.
 var workRatioPrior = [ageBuckets]float64{0.80, 0.85, 0.90, 0.95, 0.97, 1, 1}
 
 const (
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -219,7 +219,7 @@
 func (s Status) answered() bool { return s == OK || s == Error || s == Full }
 
 // attributeAttempt moves an attempt to the endpoint that handled it, if the transport used another endpoint than the
-// balancer chose. Statistics are then updated for that endpoint, and retries stay within its group.
+// one that the balancer chose. Statistics are then updated for that endpoint, and retries stay within its group.
 func (b *Balancer) attributeAttempt(a *attempt, actual uint32) {
 	e := b.endpoints.byID[actual]
 	if e == nil || e == a.endpoint {
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -4,8 +4,8 @@
 	recentDraws         = 4    // draws from the recently used endpoints in one pick
 	maxRecent           = 32   // recently used endpoints recorded
 	queueDelayWeight    = 0.05 // weight of the delay that a send causes to requests in flight
-	crossZoneWeight     = 2.0  // latency objectives that a price of 1 for leaving the zone counts as
-	idleConnectionRatio = 0.7  // of the keep-alive time, for which an idle connection is assumed to stay open
+	crossZoneWeight     = 2.0  // cost of leaving the zone at a price of 1, in latency objectives
+	idleConnectionRatio = 0.7  // ratio of the keep-alive time for which an idle connection is assumed open
 	connectRoundTrips   = 2.0  // round trips to open a connection
 	connectCostRatio    = 0.2  // cost of opening a connection, as a ratio of the latency objective
 )
@@ -27,7 +27,7 @@
 	return cost + crossZoneWeight*b.settings.Prices.CrossZone*objective*indicator(remote)
 }
 
-// likelyConnected reports whether an idle connection to e is likely, or true if connections do not matter.
+// likelyConnected reports whether e is likely to have an idle connection; true if connections do not matter.
 func (b *Balancer) likelyConnected(now Micros, e *endpoint) bool {
 	lifetime := Micros(idleConnectionRatio * float64(b.settings.Limits.KeepAlive))
 	if lifetime == 0 {
--- a/balancer/polling.go
+++ b/balancer/polling.go
@@ -1,6 +1,6 @@
 package balancer
 
-// maxPollBackoff is the limit before jitter: a change must be known 6 s after discovery is reachable again.
+// maxPollBackoff limits backoff before jitter: a change must be known 6 s after discovery is reachable again.
 const maxPollBackoff = 5 * second / 2
 
 // pollDiscovery subscribes to discovery, unless a subscription is active or the timer is outdated.
@@ -9,7 +9,7 @@
 		return
 	}
 	b.actions.Watch(true)
-	// The response may be lost, and without a subscription no update would ever arrive.
+	// The response may be lost, so poll again: without a subscription no update would ever arrive.
 	interval := b.settings.Contract.PollInterval
 	b.schedulePoll(now, 1+interval/2+b.random.below(interval/4))
 }
--- a/balancer/probe_pool.go
+++ b/balancer/probe_pool.go
@@ -68,8 +68,8 @@
 	return queueing / b.classes[0].work.value * assumedCores
 }
 
-// reportedInFlight returns the lowest number of requests in flight that a load report implies, or -1 if it implies
-// none; counted reports whether the endpoint has counted them.
+// reportedInFlight returns the lowest number of requests in flight that a load report implies, or -1 if the report has
+// no figure for it; counted reports whether the endpoint has counted them.
 func reportedInFlight(fields []Field, load []float32) (inFlight float64, counted bool) {
 	if inFlight = reportValue(fields, load, FieldInFlight); inFlight >= 0 {
 		return inFlight, true
--- a/balancer/probes.go
+++ b/balancer/probes.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	probeCostRatio      = 0.005       // upper limit of the cost of probe rounds, as a ratio of the result
-	onDemandCostRatio   = 0.02        // upper limit of the cost of probes on demand, as a ratio of the result
+	probeCostRatio      = 0.005       // upper limit of the cost of probe rounds, as a ratio of request weight
+	onDemandCostRatio   = 0.02        // the same for probes on demand
 	maxProbesPerRequest = 4.0         // regardless of their cost
 	minAdmittedRatio    = 0.3         // lowest ratio of admitted requests assumed for the probe rate
 	maxProbeInterval    = second / 10 // µs between rounds
@@ -19,7 +19,7 @@
 	minQueuedProbeRatio = 0.05       // ratio of queued probes above which all endpoints are taken to queue them
 	minQueuedRequests   = 0.5        // requests ahead of a probe from which it counts as queued; less is jitter
 	minLocalLoad        = 0.1        // requests in flight per endpoint from which local counts show the load
-	minReportedRatio    = 0.8        // of local requests that a timely report counts; reports are noisy
+	minReportedRatio    = 0.8        // ratio of local requests that a timely report counts; reports are noisy
 	maxLateReportRatio  = 0.1        // ratio of late reports above which averages replace reports
 	settledRoundTrips   = 5.0        // round trips after which a send has certainly arrived
 	ratioWeight         = 0.02       // weight of the latest sample in a ratio of requests, probes or reports
@@ -43,8 +43,8 @@
 	}
 	wait := min(maxProbeWaitRatio*float64(b.classOf(r).LatencyObjective), float64(r.Deadline-now)/4)
 	for i := range int(b.probes.perRequest) {
-		// The first is in this zone. The others must be able to respond in time: a remote response would be late,
-		// and so would the answer. While many requests are rejected, endpoints with capacity are sought there too.
+		// The first is in this zone. The others must respond in time, since a late response makes the answer late
+		// too. While many requests are rejected, endpoints with capacity are sought at up to twice the round trip.
 		maxRoundTrip := wait / 2
 		if i == 0 {
 			maxRoundTrip = 0
@@ -204,7 +204,7 @@
 	probesQueue := b.reports.queued.value > minQueuedProbeRatio
 	if probesQueue && queued < minQueuedRequests && b.estimates.baselineLoad.value < assumedCores {
 		// Probes queue at other endpoints but did not at this one, so it has a free core even if an old report says
-		// otherwise. In a fleet that is busy everywhere that is chance, and the report is the better evidence.
+		// otherwise. If the whole fleet is busy, a probe avoids the queue by chance, and the report counts more.
 		e.otherInFlight = min(e.otherInFlight, assumedCores-1)
 	}
 }
--- a/balancer/rejection.go
+++ b/balancer/rejection.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	maxQueueingRatio  = 0.6    // of the time left to the objective: queueing accepted at the highest priority
+	maxQueueingRatio  = 0.6    // ratio of the time left to the objective for queueing at the highest priority
 	minQueueingRatio  = 0.2    // the same at the lowest priority
 	tenantTolerance   = 0.12   // excess over its quota, as a ratio, at which a tenant has the lowest weight
 	worstWindowGain   = 4.0    // weight counts more in the worst windows, which are those with rejections
-	minClassWorkRatio = 0.05   // of all work; a class below it gains no further priority from being small
+	minClassWorkRatio = 0.05   // ratio of all work; a class below it gains no further priority from being small
 	fairnessScale     = 0.1    // difference in the ratio of requests in time that multiplies urgency by e
 	onTimeWeight      = 0.02   // weight of the latest request in the ratio of requests answered in time
 	minTrialInterval  = 10     // one in this many requests over the latency limit is sent as a trial,
@@ -54,7 +54,7 @@
 	}
 	if n := len(r.attempts); b.reports.late || n > 0 && r.attempts[n-1].overdue {
 		// Either reports are late, and averages must not reject what the unknown least loaded endpoint would serve,
-		// or the previous attempt was dropped, and the request has already waited longer than its class should.
+		// or the previous attempt was dropped, and the request has already waited too long for its class.
 		queueing = 1
 	}
 	spare := float64(b.classOf(r).LatencyObjective) - float64(now-r.arrivedAt) - unqueued
@@ -65,7 +65,7 @@
 // quota of its tenant.
 func (b *Balancer) priority(now Micros, r *request) float64 {
 	var work, weight float64 // per second, of all classes
-	worst := 1.0             // ratio of requests in time, of any class
+	worst := 1.0             // lowest ratio of requests in time of any class
 	for i := range b.classes {
 		if b.settings.Classes[i].Retired {
 			continue
@@ -129,7 +129,7 @@
 }
 
 // safeRetryWindow returns for how long a rejected client may retry without a second effect, or 0 if the
-// balancer must not guarantee that.
+// balancer cannot guarantee that.
 func (b *Balancer) safeRetryWindow(now Micros, r *request) Micros {
 	class, first := b.classOf(r), r.firstMayHaveRun()
 	switch {
@@ -141,7 +141,7 @@
 	return 0
 }
 
-// reject gives the final answer that guarantees that a retry is harmless, or fails r if a retry is not.
+// reject gives the final answer that guarantees that a retry is harmless, or fails r if that is not certain.
 func (b *Balancer) reject(now Micros, r *request) {
 	window := b.safeRetryWindow(now, r)
 	if r.finished || window == 0 {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -36,22 +36,22 @@
 	FieldErrors            // errors per second
 )
 
-// Class describes one class of requests.
+// Class describes one class of requests. No decision reads Streaming.
 type Class struct {
 	Name             string
 	Idempotency      Idempotency
 	Group            Group   // with IdempotentWithKey only
 	DedupWindow      Micros  // with IdempotentWithKey only: how long the group drops repeats
 	LatencyObjective Micros  // an answer within this time has the full weight
-	ClientTimeout    Micros  // over all attempts of the client, including its retries
-	PriorityWeight   float64 // of one request, or of one unit of work with WeightByWork
+	ClientTimeout    Micros  // how long a client waits in all, over its first attempt and its retries
+	PriorityWeight   float64 // of one request, or, with WeightByWork, of one unit of work
 	LateWeightRatio  float64 // ratio of its weight that a later answer still has
 	HedgeQuantile    float64 // quantile of its latencies after which a request is hedged; 0 for never
 	Retired          bool    // no new request is of this class
 	Streaming        bool    // answers are streamed: ResponseStarted announces them
 }
 
-// Tenant describes one tenant.
+// Tenant describes one tenant. No decision reads Share.
 type Tenant struct {
 	Name  string
 	Quota float64 // requests per second over all balancers
@@ -67,7 +67,7 @@
 	Cancel, Probes, Hedging, RetryAfter, PeerMessages bool
 
 	MaxAttempts   int    // attempts per request
-	MaxOpen       int    // requests without final answer per balancer
+	MaxOpen       int    // requests without a final answer, per balancer
 	MaxRetryAfter Micros // the longest Retry-After that clients honour
 	DialTimeout   Micros
 	KeepAlive     Micros // how long endpoints keep an idle connection; 0 if connections do not matter
@@ -90,7 +90,8 @@
 	CrossZone, Probe, Waste, LateFail float64
 }
 
-// Goal holds the weights of the parts of the result. No decision reads WorstTenant.
+// Goal holds the weights of the parts of the goal that requests are prioritized by: all requests, those in the worst
+// time window, the worst class and the worst tenant. No decision reads WorstTenant.
 type Goal struct {
 	Overall, WorstWindow, WorstClass, WorstTenant float64
 }
@@ -106,7 +107,7 @@
 
 	Classes []Class
 	Tenants []Tenant
-	Budgets []RetryBudget // that requests may select instead of the shared one
+	Budgets []RetryBudget // budgets that requests may select instead of the shared one
 	Fields  []Field       // figures of a load report, in order
 
 	Limits               Limits
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,7 +5,7 @@
 // capacity without coordination. Each send is charged slightly more than its work, to cover a possible
 // handshake.
 const (
-	slowStartShare  = 0.28 // of the multiple of its capacity at which the endpoint is overloaded
+	slowStartShare  = 0.28 // ratio of the overload multiple of its capacity that the endpoint may be sent
 	slowStartCharge = 1.15 // tokens that a send takes from the bucket per unit of its work
 	maxKindRatio    = 1.6  // factor by which a kind of machine counts as faster or slower than the mean, at most
 	probeWorkRatio  = 0.01 // work of a probe, as a ratio of the work of a request
@@ -16,8 +16,8 @@
 	e.slowStart.since = min(started, now)
 	b.endpoints.beginSlowStart(e, e.slowStart.since+b.settings.Contract.SlowStartTime)
 	e.slowStart.refilledAt = now
-	// A balancer with little traffic earns one send in minutes. Every bucket therefore starts with a random
-	// part of one, as otherwise no such balancer would send anything during slow start.
+	// A balancer with little traffic earns the tokens of one send in minutes. Every bucket therefore starts with
+	// a random part of them, as otherwise no such balancer would send anything during slow start.
 	e.slowStart.tokens = b.random.float() * slowStartCharge * b.classes[0].work.value
 }
 
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// Log logs an event of the decision module. It replaces the ledger's number of a request by the client's id.
+// Log logs an event of the decision module. It replaces the number of a request in the ledger by the client's id.
 func (x actions) Log(event string, attributes ...any) {
 	for i := 0; i+1 < len(attributes); i += 2 {
 		id, isID := attributes[i+1].(uint64)
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -4,9 +4,9 @@
 // # Event loop
 //
 // One goroutine owns a module and never blocks. It runs Engine.Run, which takes one event after
-// the other from a queue; an event is a function of the module's time. Only that goroutine accesses
-// the state of the decision module, the request ledger, the endpoint registry and the subset, so
-// none of them is locked. Other goroutines pass their events by Post (waits for
+// the other from a queue; an event is a function that is called with the module's time. Only that
+// goroutine accesses the state of the decision module, the request ledger, the endpoint registry and
+// the subset, so none of them is locked. Other goroutines pass their events by Post (waits for
 // space in the queue), PostArrival, TryPost (never waits) or Call (waits for the event's end).
 // Events that arise within a call of the decision module are deferred until that call has
 // returned (Defer), since the module must not be entered again from within. Settings, HasEndpoints,
--- a/internal/engine/interfaces.go
+++ b/internal/engine/interfaces.go
@@ -62,10 +62,10 @@
 // Result is the result of an attempt or a health check.
 type Result struct {
 	Status   balancer.Status
-	Endpoint uint32        // endpoint that served the attempt; 0 if it is the one it was sent to
+	Endpoint uint32        // endpoint that served the attempt; 0 for the one that it was sent to
 	Settled  bool          // the client has already been answered without the engine
-	Header   http.Header   // of a complete response with status 200, as is Body
-	Body     []byte        // at most httpmsg.BodyMost bytes
+	Header   http.Header   // set, like Body, only for a complete response with status 200
+	Body     []byte        // at most httpmsg.MaxBodyBytes bytes
 	Load     []float32     // in the order of the settings' fields; NaN where unknown
 	Duration time.Duration // of a health check, from writing it to its end, without connecting
 }
--- a/internal/engine/keylease.go
+++ b/internal/engine/keylease.go
@@ -153,7 +153,7 @@
 }
 
 // resubmit has the decision module decide again on a request that another instance may have sent.
-// The request gets a new id, and counts as one of which an attempt may have run before it arrived.
+// The request gets a new id, and counts as one that may have run before it arrived.
 func (e *Engine) resubmit(now balancer.Micros, r *Request, a *Attempt, decision LeaseDecision) {
 	maxAttempts := e.Settings().Limits.MaxAttempts
 	if r.in.MaxAttempts > 0 {
--- a/internal/engine/registry.go
+++ b/internal/engine/registry.go
@@ -20,8 +20,8 @@
 	return unknownName
 }
 
-// endpoint is the engine's record of an endpoint, kept until the endpoint is removed and nothing is
-// pending there. Endpoints are added and removed all day under new names.
+// endpoint is the engine's record of an endpoint. It is deleted once the endpoint is removed and nothing
+// is pending there, since endpoints are added and removed all day under new names.
 type endpoint struct {
 	name    string
 	host    Host    // as last listed
--- a/internal/engine/subset.go
+++ b/internal/engine/subset.go
@@ -55,8 +55,8 @@
 	if kind == balancer.ListDelta {
 		filtered = append(filtered, s.removals(removed)...)
 	}
-	// Of the selected servers, a snapshot returns all that it lists, and a delta only those that
-	// changed or were added, since a delta must not cost an iteration over the fleet.
+	// Of the selected servers, a snapshot yields all that it lists, and a delta only those that it
+	// changes or that Select added, since a delta must not cost an iteration over the fleet.
 	for _, name := range added {
 		listed[name] = true
 	}
@@ -131,7 +131,7 @@
 }
 
 // observeOutcome reports the outcome of an attempt or health check to Options.ObserveOutcome and to
-// the subset. The subset ignores attempts that were not sent, or that were cancelled.
+// the subset. Outcomes of attempts that were not sent, or that were cancelled, are kept from the subset.
 func (e *Engine) observeOutcome(now balancer.Micros, id uint32, status balancer.Status) {
 	ep := e.endpoints.byID[id]
 	if ep == nil {
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,4 +1,4 @@
-// Package routing keeps the ledger of a front whose callers carry out attempts themselves: another proxy requests a
+// Package routing keeps the ledger of requests whose callers carry out attempts themselves: another proxy requests a
 // routing decision, sends the request to the endpoint that it is given, and reports the outcome.
 //
 // A Ledger records which streams request the same effect and what each was answered, and decides which attempts may be
--- a/internal/routing/expiry.go
+++ b/internal/routing/expiry.go
@@ -25,8 +25,8 @@
 	return l.limits.Classes[class].ClientTimeout + l.limits.Classes[class].DedupWindow
 }
 
-// release removes an entry that has no stream. If an attempt may have run that must not be repeated freely, release
-// schedules the expiry of the entry instead.
+// release removes an entry that has neither a stream nor an unanswered round. If an attempt may have run that must not
+// be repeated freely, release schedules the expiry of the entry instead.
 func (l *Ledger) release(now Micros, e *entry) {
 	if e.streams > 0 || e.expiryScheduled || e.round != nil && !e.round.answered {
 		return
--- a/internal/routing/ledger.go
+++ b/internal/routing/ledger.go
@@ -16,7 +16,7 @@
 	maxRequestsPerEntry = 16
 )
 
-// Ledger keeps the streams, rounds and entries of a front. New returns an empty one.
+// Ledger keeps streams, entries and rounds; the package comment explains them. New returns an empty one.
 type Ledger struct {
 	limits    Limits
 	actions   Actions
@@ -25,7 +25,7 @@
 	streams    map[StreamID]*stream
 	rounds     map[uint64]*round        // that have an attempt in flight or no final answer
 	entries    map[string]*entry        // by entryKey
-	requestIDs map[string]*requestIDUse // of the requests with an open stream
+	requestIDs map[string]*requestIDUse // by request ID, for the requests with an open stream
 	offers     []offer                  // unclaimed attempts, the earliest first
 	expiries   [][]entryExpiry          // by class: entries to remove, the earliest first
 }
@@ -54,7 +54,7 @@
 	round           *round
 	waiting         []*stream         // for a decision of the module
 	streams         int               // open
-	requests        []requestForwards // of the client
+	requests        []requestForwards // one for each first request or retry of the client
 	unknownEndpoint bool              // an endpoint that is not in the list has served the request
 	expiryScheduled bool              // the entry is in Ledger.expiries
 	lastClosed      Micros            // latest time at which one of its streams was closed
@@ -82,7 +82,7 @@
 	}
 }
 
-// SetClasses replaces the classes. The numbers of the previous classes stay valid.
+// SetClasses replaces the classes. The previous classes must keep their indexes.
 func (l *Ledger) SetClasses(all []balancer.Class) {
 	l.limits.Classes = all
 	for len(l.expiries) < len(all) {
--- a/internal/routing/replay.go
+++ b/internal/routing/replay.go
@@ -19,7 +19,7 @@
 	reasonUnknownEndpoint = "a server had the request that is not in the list: it must not be repeated"
 )
 
-// replay forwards an attempt that was forwarded before once more, if a repeat is harmless.
+// replay forwards an attempt that was forwarded before, if a repeat is harmless, and otherwise responds with Conflict.
 func (l *Ledger) replay(now Micros, r *round, index int, s *stream) {
 	if reason := l.replayConflict(now, r, index, s.requestID); reason != "" {
 		l.actions.Respond(s.id, Response{Kind: Conflict, Reason: reason})
@@ -28,7 +28,7 @@
 	l.forward(now, r, index, s)
 }
 
-// replayConflict returns the reason why an attempt must not be forwarded again, "" if it may.
+// replayConflict returns the reason why an attempt must not be forwarded again, or "" if it may be.
 func (l *Ledger) replayConflict(now Micros, r *round, index int, requestID string) string {
 	e, a := r.entry, &r.attempts[index]
 	idempotency := l.class(e).Idempotency
--- a/internal/routing/report.go
+++ b/internal/routing/report.go
@@ -3,7 +3,7 @@
 import "pinedale/balancer"
 
 // HandleReport handles the outcome of the attempt that was forwarded to a stream, and returns what the caller must do
-// with the endpoint's answer. It ignores a report if no attempt was forwarded to the stream, or a second report.
+// with the endpoint's answer. It ignores a second report, and any report if no attempt was forwarded to the stream.
 func (l *Ledger) HandleReport(id StreamID, outcome Outcome) Response {
 	s := l.streams[id]
 	if s == nil || s.round == nil || s.reported {
@@ -24,7 +24,7 @@
 		r.succeeded = s.attempt
 	}
 	if outcome.UnknownEndpoint {
-		// The module has no state for an endpoint that is not in the list, so that the outcome counts for no endpoint.
+		// The module has no state for an endpoint that is not in the list, so the outcome counts for no endpoint.
 		r.entry.unknownEndpoint = true
 		outcome.Status = balancer.Cancelled
 	}
@@ -51,7 +51,7 @@
 
 // completeReported passes the reported outcome of an attempt to the module, and ends the round if it can't continue.
 func (l *Ledger) completeReported(r *round, index int, outcome Outcome) {
-	// Replays use up forwards, but the module still counts on them for attempts of its own.
+	// Replays use up forwards that the module still counts on, so the round may end before the module has finished it.
 	exhausted := r.entry.exhausted(r.requestID, l.limits.MaxAttempts) && len(r.attempts) < r.maxAttempts
 	r.answered = r.answered || r.succeeded != noAttempt || outcome.UnknownEndpoint || exhausted
 	l.completeAttempt(r, index, outcome, r.answered && outcome.Status != balancer.OK)
--- a/internal/routing/round.go
+++ b/internal/routing/round.go
@@ -14,14 +14,14 @@
 	maxAttempts  int // that the module may schedule
 	attempts     []attempt
 	openAttempts int      // not completed
-	answered     bool     // the module has given its final answer, or the client has disconnected
+	answered     bool     // no further attempt is made: the round was answered or cancelled, or must not continue
 	final        Response // the module's Reject or Fail, see hasFinal
 	succeeded    int      // index of the attempt that was answered with success, or noAttempt
 }
 
 // attempt is one attempt of a round, as the decision module scheduled it.
 type attempt struct {
-	ref            any // of the host
+	ref            any // the host's value for the attempt, see AttemptScheduled
 	location       Location
 	firstForwarded Micros
 	forwards       int  // how often it was forwarded
@@ -85,7 +85,7 @@
 	l.actions.StartRound(r.id, req.Key, moduleRequest)
 }
 
-// startConflict returns the reason why a request must not start a new round, "" if it may.
+// startConflict returns the reason why a request must not start a new round, or "" if it may.
 func (l *Ledger) startConflict(e *entry, req *Request) string {
 	idempotency := l.class(e).Idempotency
 	switch {
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -13,7 +13,7 @@
 	Stream        StreamID
 	ID            string           // correlation ID: a new one with each retry of a client
 	Key           string           // idempotency key, unique within a tenant; "" if the class has no keys
-	Fingerprint   uint64           // of all that must be equal if the same effect is requested again
+	Fingerprint   uint64           // of everything that must be equal when the same effect is requested again
 	ModuleRequest balancer.Request // passed to the decision module
 	Tenant        string
 }
@@ -62,15 +62,17 @@
 	// StartRound passes a request to the decision module as a new round, with its idempotency key if it has one. The
 	// module's decision may arrive within the call, by AttemptScheduled, RoundRejected or RoundFailed.
 	StartRound(round uint64, key string, req balancer.Request)
-	// CancelRound notifies the module that the client of a round has disconnected. The module may cancel the attempts of
-	// the round within the call, by AttemptCancelled.
+	// CancelRound notifies the module that no caller waits for a round any more, as if its client had disconnected. The
+	// ledger then cancels the round's attempts itself. If the module cancels them too, the host calls AttemptCancelled
+	// only after CancelRound has returned.
 	CancelRound(round uint64)
 	// CompleteAttempt passes the outcome of an attempt to the module, exactly once per attempt. settled is set if the
 	// client has its answer. The module's next decision may arrive within the call.
 	CompleteAttempt(round uint64, attempt int, outcome Outcome, settled bool)
 	// Usable reports whether the endpoint of an attempt still accepts new requests.
 	Usable(ref any) bool
-	// Respond answers a stream's request, once for each stream that has not been closed before.
+	// Respond answers a stream's request, unless the stream has been closed before: once, and a second time after
+	// ForwardDiscarded.
 	Respond(stream StreamID, response Response)
 }
 
