--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -33,12 +33,12 @@
 	Name      string // of this instance, unique in the fleet
 	Listen    string // host:port for UDP and TCP
 	Advertise string // host:port at which others reach this instance; Listen if empty
-	// Join lists other instances as name/host:port. The node contacts those that are not alive.
+	// Join lists other instances as name/host:port. The node contacts those not known to be alive.
 	Join []string
 	// AddressMap maps names of instances to the host:port at which this instance reaches them, if
 	// that differs from the address that they advertise.
 	AddressMap map[string]string
-	// Keys encrypt messages, with 16, 24 or 32 bytes each. The first key encrypts, all keys
+	// Keys encrypt messages. Each has 16, 24 or 32 bytes. The first key encrypts, all keys
 	// decrypt. Without keys, messages are sent in plain text.
 	Keys          [][]byte
 	Voters        []string // names of the instances that grant leases, the same at all instances
@@ -49,7 +49,7 @@
 	Build         string
 	SlowStartTime time.Duration // how long a server counts as warming up after its start
 	// OnDrainAdvisory is called on the engine's goroutine with the servers that get no new
-	// requests: start times in Unix milliseconds by name. If it is nil, there are no advisories.
+	// requests: their start times in Unix milliseconds by name. If it is nil, there are no advisories.
 	OnDrainAdvisory func(now balancer.Micros, draining map[string]int64)
 	Log             *slog.Logger
 }
--- a/internal/cluster/decision.go
+++ b/internal/cluster/decision.go
@@ -16,7 +16,8 @@
 	reasonNoMajority = "no majority of the key's voters granted a lease"
 )
 
-// resolve posts the decision on a request if there is one. There always is one if expired is set.
+// resolve posts the decision on a request if there is one. If expired is set, because the request's
+// deadline has passed, there always is one.
 func (l *leases) resolve(open *openLease, expired bool) {
 	decision, ok := l.decide(open, expired)
 	if !ok {
@@ -58,7 +59,7 @@
 	}
 	local := open.localResponse
 	if l.cfg.agreement(open.request.Class) == AgreeSoon && local.Shared {
-		// No other instance responded, but this one has sent another request with the key.
+		// No voter reported another holder, but another request of this instance holds the key.
 		return l.shared(local.Group, open.startedAt-local.Age)
 	}
 	l.counts.NoMajority++
@@ -69,8 +70,8 @@
 	return l.withoutMajority(open.request.Class, reason)
 }
 
-// shared counts and returns the decision to send to the group of other holders, the first of
-// which sent its request at the given time.
+// shared counts and returns the decision to send to the group of other holders. first is the
+// earliest time at which one of them may have sent its request.
 func (l *leases) shared(group string, first time.Duration) engine.LeaseDecision {
 	l.counts.Shared++
 	return engine.LeaseDecision{
@@ -80,8 +81,8 @@
 	}
 }
 
-// withoutMajority returns the decision if no majority of voters has responded. It may be called on
-// any goroutine.
+// withoutMajority returns the decision on a request for which no majority of voters has responded.
+// It may be called on any goroutine.
 func (l *leases) withoutMajority(class uint8, reason string) engine.LeaseDecision {
 	if l.cfg.agreement(class) == AgreeAlways {
 		return denied(reason)
--- a/internal/cluster/drains.go
+++ b/internal/cluster/drains.go
@@ -161,8 +161,9 @@
 	return reports, reporterCounts
 }
 
-// withdrawEnded withdraws the drains of servers that are listed but no longer draining. A server
-// that is no longer listed has terminated; its drain is withdrawn when the report is too old to count.
+// withdrawEnded withdraws the advertised drains of servers that are listed but no longer draining. A
+// server that is no longer listed has terminated; its drain is withdrawn when the report is too old
+// to count.
 func (d *drains) withdrawEnded(now time.Duration) {
 	for incarnation, advertisedAt := range d.advertised {
 		if slices.Contains(d.endpoints.draining, incarnation) {
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -16,8 +16,8 @@
 const (
 	// instanceSubject is the subject of an instance's entry about itself.
 	instanceSubject = "self"
-	// instanceEntryInterval is the mean number of advertisements of which one is about the
-	// instance itself, while there are changed tallies of servers to advertise.
+	// On average, one in instanceEntryInterval advertisements is about the instance itself while
+	// there are changed tallies of servers to advertise.
 	instanceEntryInterval = 8
 	// minInstanceInterval is the minimum time from an advertisement about the instance to the next one.
 	minInstanceInterval = time.Second
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -14,7 +14,8 @@
 	// votersPerKey is the number of voters of a key. Two of them are a majority. One of the three
 	// may be unreachable for a time, but not both voters that have granted a lease.
 	votersPerKey = 3
-	// leaseRetryInterval is twice the round-trip time of a slow local network.
+	// leaseRetryInterval is the time after which a lease request is sent again to voters that have
+	// not responded: twice the round-trip time of a slow local network.
 	leaseRetryInterval = 20 * time.Millisecond
 	// duplicateTimeout is how long an instance grants nothing, in addition to the lease duration,
 	// after it has found another instance with its name. In this time memberlist exchanges the
--- a/internal/cluster/membership.go
+++ b/internal/cluster/membership.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// address returns the host:port that the instance listens on.
+// address returns the host:port at which others reach this instance.
 func (m *membership) address() string {
 	local := m.list.LocalNode()
 	return net.JoinHostPort(local.Addr.String(), strconv.Itoa(int(local.Port)))
@@ -178,8 +178,8 @@
 	delete(m.alive, name)
 }
 
-// joinLoop contacts the targets that are not alive, one at a time, until done is closed. Each target
-// has the form name/host:port.
+// joinLoop contacts the targets that are not known to be alive, one at a time, until done is closed.
+// Each target has the form name/host:port.
 func (m *membership) joinLoop(targets []string, done <-chan struct{}) {
 	if len(targets) == 0 {
 		return
@@ -196,7 +196,7 @@
 	}
 }
 
-// missing returns the targets that are not alive.
+// missing returns the targets that are not known to be alive.
 func (m *membership) missing(targets []string) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/cluster/message/decode.go
+++ b/internal/cluster/message/decode.go
@@ -217,7 +217,7 @@
 	}
 }
 
-// sentBy reports whether the owner is the sender. No instance may send messages for another one.
+// sentBy reports whether the owner is the sender. No instance may request or release leases for another.
 func sentBy(owner keylease.Owner, from replication.Origin) bool {
 	return owner.Name == from.Name && owner.Epoch == from.Epoch
 }
--- a/internal/cluster/message/message.go
+++ b/internal/cluster/message/message.go
@@ -29,7 +29,7 @@
 	Payload any
 }
 
-// Release releases a lease. It also cancels requests for the lease that arrive later.
+// Release releases a lease. It also cancels requests for the lease that arrive after it.
 type Release struct {
 	Key   keylease.Key
 	Owner keylease.Owner
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -60,7 +60,7 @@
 	Exclusive  uint64 `json:"Clear"`   // of these, granted without another holder of the key
 	Shared     uint64 `json:"Shared"`  // of these, granted for the group of other holders
 	Denied     uint64 `json:"Refused"` // of these, denied because of competing requests
-	NoMajority uint64 `json:"Unsure"`  // of these, decided by class since no majority of voters responded
+	NoMajority uint64 `json:"Unsure"`  // of these, decided by the class's Agreement, without a majority of voters
 	Received   uint64 `json:"Heard"`   // messages that were decoded
 	Malformed  uint64 `json:"Bad"`     // messages that could not be decoded
 	Sent       uint64 `json:"Sent"`    // messages
@@ -115,7 +115,7 @@
 	return n
 }
 
-// Addr returns the host:port that the node listens on.
+// Addr returns the host:port at which others reach this node.
 func (n *Node) Addr() string { return n.members.address() }
 
 // Close stops the node's goroutines, waits for them, and announces to the other instances that this
@@ -143,7 +143,7 @@
 	case n.tasks <- func() { n.leases.request(n.now(), request, onDecision) }:
 	default:
 		// The engine's goroutine must not wait here, and onDecision must not be called before
-		// Acquire returns. The new goroutine ends when the engine has queued the event or ends.
+		// Acquire returns. The new goroutine ends when the event is queued or the engine has ended.
 		decision := n.leases.withoutMajority(request.Class, reasonQueueFull)
 		n.startGoroutine(func() {
 			n.leases.post(func(now balancer.Micros) { onDecision(now, decision) })
--- a/internal/cluster/records.go
+++ b/internal/cluster/records.go
@@ -23,7 +23,8 @@
 	topicDrain
 )
 
-// entryTTL is how long an entry is valid. Origins write their entries again well before that.
+// entryTTL is how long an entry is valid. Origins write their entries again well before that, except
+// for those about servers whose tallies have not changed.
 const entryTTL = 5 * time.Minute
 
 var topics = map[replication.Topic]replication.Rule{
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -24,7 +24,7 @@
 type Status struct {
 	Name            string               `json:"name"`
 	Epoch           uint64               `json:"epoch"`   // incarnation of the instance
-	Address         string               `json:"at"`      // host:port that it listens on
+	Address         string               `json:"at"`      // host:port at which others reach it
 	Alive           []string             `json:"alive"`   // instances that are alive, this one included
 	RecoveringFor   string               `json:"quiet"`   // how long the acceptor will grant nothing
 	AcceptorKeys    int                  `json:"keys"`    // keys for which the acceptor holds state
@@ -148,7 +148,7 @@
 	_ = json.NewEncoder(w).Encode(status) // fails only if the client has disconnected
 }
 
-// Fetch requests an instance's status at host:port.
+// Fetch requests the status that an instance serves at address, which has the form host:port.
 func Fetch(ctx context.Context, address string) (Status, error) {
 	var status Status
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/", nil)
--- a/internal/cluster/statustext.go
+++ b/internal/cluster/statustext.go
@@ -38,7 +38,7 @@
 	return table.Flush()
 }
 
-// recordID identifies a record in the copies of all instances.
+// recordID identifies a record in the statuses of all instances.
 type recordID struct {
 	origin  replication.Origin
 	topic   replication.Topic
--- a/internal/cluster/tallies.go
+++ b/internal/cluster/tallies.go
@@ -59,7 +59,7 @@
 }
 
 // isServerFailure reports whether a status is evidence that the server fails. A rejection because
-// of load and a timeout are not: the deadline may have been too short.
+// of load is not, and neither is a timeout: the deadline may have been too short.
 func isServerFailure(status balancer.Status) bool {
 	return status == balancer.Error || status == balancer.Reset || status == balancer.ConnectFailed
 }
--- a/internal/cluster/transport.go
+++ b/internal/cluster/transport.go
@@ -13,8 +13,8 @@
 )
 
 // budgetBytesPerSecond limits the deltas and vectors that are sent in response to peers,
-// regardless of the fleet's size. Lease messages have no limit; rumours and digests take a few kB
-// per second.
+// regardless of the fleet's size. Lease messages have no limit; rumours and digests take about 12 kB
+// per second at most (ten messages of Limits.MaxMessageBytes and two digests).
 const budgetBytesPerSecond = 64 << 10
 
 // byteBudget is a token bucket of bytes. Its capacity is the budget of one second.
--- a/internal/drainadvisory/drainadvisory.go
+++ b/internal/drainadvisory/drainadvisory.go
@@ -12,7 +12,8 @@
 //
 // The instance's own source has precedence wherever it removes capacity: an endpoint that it
 // lists as draining, or not at all, is not considered here. An endpoint that it lists as ready
-// is withheld on reports of others, within bounds that limit the effect of wrong reports:
+// is withheld (gets no new requests) if other instances report it as draining, within bounds that
+// limit the effect of wrong reports:
 //
 //   - A report is about one incarnation of an endpoint. It does not apply after a restart of the
 //     endpoint.
--- a/internal/keylease/acceptor.go
+++ b/internal/keylease/acceptor.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Limits bound the memory of an acceptor for any messages that it receives.
+// Limits bound the memory of an acceptor, whatever messages it receives.
 type Limits struct {
 	MaxKeys     int           // keys that are leased at the same time; one takes about 200 bytes
 	MaxHolders  int           // holders of one key, including those that have released it
@@ -20,8 +20,8 @@
 	released bool
 }
 
-// supersedes reports whether the holder has moved beyond a term: it is in a later one, or
-// has released this one.
+// supersedes reports whether the holder has ended a term: it is in a later one, or has released
+// this one.
 func (h *holder) supersedes(term uint64) bool {
 	return h.term > term || h.released && h.term >= term
 }
@@ -57,7 +57,7 @@
 	voterSet        uint64        // see VoterSetHash
 	recoveredAt     time.Duration // until then leases of the previous incarnation may be valid
 	keys            map[Key]*keyState
-	expirationQueue []*keyState // all of keys, in the order in which expireSome inspects them
+	expirationQueue []*keyState // states, also replaced ones, in the order in which expireSome inspects them
 }
 
 // NewAcceptor returns an acceptor that grants nothing until the longest lease of a previous
--- a/internal/keylease/doc.go
+++ b/internal/keylease/doc.go
@@ -18,7 +18,7 @@
 // requester ([Lease]) sends a lease request to all members and retransmits it until enough
 // of them have responded. An acceptor grants a key to one group at a time, records every
 // holder of the lease, and responds with the granted group. The requester may send only to
-// the group that a majority of the voter set has granted:
+// the group that a majority of the voter set has granted. The possible outcomes are:
 //
 //   - [Exclusive]: the requester's own group was granted and no other holder was reported,
 //     so no other instance has sent the request.
@@ -38,10 +38,10 @@
 // without a lease (cluster.AgreeAlways; with AgreeSoon this does not hold if voters do not respond):
 //
 //   - Any two majorities of one voter set have an acceptor in common.
-//   - An acceptor changes the group of a key only when every holder has released the lease
-//     (which a holder does only if it sent nothing that may have been executed, and will not
-//     send) or when the lease has expired (by then no holder may send any more). As long as
-//     any holder may send to one group, no majority can grant another.
+//   - An acceptor changes the group of a key only when every holder has ended its term by a
+//     release or a request in a later term (which a holder does only if it sent nothing that may
+//     have been executed, and will not send) or when the lease has expired (by then no holder may
+//     send any more). As long as any holder may send to one group, no majority can grant another.
 //   - Of two holders of one group, the common acceptor has seen one first. It reports to the
 //     second that the lease is shared, so at most one holder has an exclusive lease.
 //
--- a/internal/keylease/lease.go
+++ b/internal/keylease/lease.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// Retry makes Unanswered return the voters again that could not vote, since they may be able to
+// Retry makes Unanswered return again the voters that could not vote, since they may be able to
 // vote now.
 func (l *Lease) Retry() {
 	for i := range l.votes {
@@ -150,8 +150,8 @@
 	undecided   int // voters that have not granted any group
 }
 
-// countVotes counts the votes. Of several groups with the most votes, the first that reached
-// their number is the leader.
+// countVotes counts the votes. If several groups have the most votes, the leader is the one that
+// reached that number first.
 func (l *Lease) countVotes() voteCount {
 	var count voteCount
 	votesByGroup := map[string]int{}
--- a/internal/keylease/message.go
+++ b/internal/keylease/message.go
@@ -29,7 +29,7 @@
 	Granted       ResponseKind = iota
 	Recovering                 // the acceptor started too recently to know what it granted before
 	UnknownVoters              // the acceptor is configured with another voter set
-	AtCapacity                 // the acceptor has no capacity for another key or another holder of it
+	AtCapacity                 // the acceptor has no capacity for another key or another holder of the key
 )
 
 // String describes what an acceptor that responds with this kind has done. It is part of the
--- a/internal/membership/ephemeral/client.go
+++ b/internal/membership/ephemeral/client.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// Bounds of the delay before a new connection.
+	// Bounds of the delay, without jitter, before a new connection.
 	initialReconnectDelay = 50 * time.Millisecond
 	maxReconnectDelay     = 2 * time.Second
 
@@ -47,7 +47,7 @@
 	Snapshot(version uint64, hosts []engine.Host)
 	// Delta receives the endpoints that changed. Those that were removed have State Removed.
 	Delta(version uint64, hosts []engine.Host)
-	// SourceUnavailable is called when the source reports nothing until the next Snapshot.
+	// SourceUnavailable is called when the source stops reporting. Its next report is a Snapshot.
 	SourceUnavailable(reason string)
 }
 
@@ -58,8 +58,8 @@
 	// The fields below are kept from one connection to the next. Feed's goroutine owns them.
 
 	listed   map[string]bool   // nodes that were reported as endpoints, by name
-	rejected map[string]string // reasons why nodes have invalid data, by name
-	version  uint64            // of the directory: the zxid of its last change
+	rejected map[string]string // reasons why the data of nodes is invalid, by name
+	version  uint64            // of the directory: the zxid (ZooKeeper transaction ID) of its last change
 }
 
 // New returns a client that is not connected.
--- a/internal/membership/ephemeral/curator.go
+++ b/internal/membership/ephemeral/curator.go
@@ -21,9 +21,9 @@
 }
 
 // decodeCurator decodes the data that Apache Curator's service discovery writes. The address and
-// port are those of the instance; all other values are those of the payload, if it has
-// pinedale's native form. The registration time is not used as the start time, since a server whose
-// session expired registers again.
+// port are those of the instance, and an instance that is not enabled is draining. All other values
+// are those of the payload, if it has pinedale's native form. The registration time is not used as
+// the start time, since a server whose session expired registers again.
 func decodeCurator(data []byte) (Data, error) {
 	var instance curatorInstance
 	if err := json.Unmarshal(data, &instance); err != nil {
--- a/internal/membership/ephemeral/reader.go
+++ b/internal/membership/ephemeral/reader.go
@@ -124,9 +124,9 @@
 	return 0
 }
 
-// readFailed requeues the events of nodes, and of the directory if set, and returns the delay
-// until the next attempt. It logs the error unless the connection has ended, which is reported
-// by an event.
+// readFailed requeues the events of nodes, and that of the directory if directory is set, and returns
+// the delay until the next attempt. It logs the error unless the connection has ended, which is
+// reported by an event.
 func (r *reader) readFailed(err error, nodes map[string]zk.EventType, directory bool) time.Duration {
 	if !zkconn.IsDisconnect(err) {
 		r.options.Log.Warn(
@@ -163,7 +163,7 @@
 }
 
 // refreshDirectory lists the directory again and reads its new nodes. It reports nodes that are
-// missing as removed, in case their own watches have not.
+// missing as removed, in case their own watches have not reported the removal.
 func (r *reader) refreshDirectory() error {
 	names, version, err := r.listDirectory()
 	if err != nil {
@@ -281,7 +281,7 @@
 	)
 }
 
-// appendRemoved appends the removal of a node's endpoint if the node was reported as one.
+// appendRemoved appends the removal of a node's endpoint if the endpoint was reported.
 func (r *reader) appendRemoved(hosts []engine.Host, name string) []engine.Host {
 	if !r.listed[name] {
 		return hosts
--- a/internal/membership/multisource/feeder.go
+++ b/internal/membership/multisource/feeder.go
@@ -11,14 +11,14 @@
 	"pinedale/internal/membership/ephemeral"
 )
 
-// Bounds of the delay before a failed watch is opened again.
+// Bounds of the delay, without jitter, before a failed watch is opened again.
 const (
 	initialRetryDelay = 200 * time.Millisecond
 	maxRetryDelay     = 5 * time.Second
 )
 
-// SourceFeeder is a Feeder of an engine.Source. It opens the source's watch again after a
-// failure.
+// SourceFeeder is a Feeder of an engine.Source whose Watch returns after a failure. It opens the
+// source's watch again.
 type SourceFeeder struct{ Source engine.Source }
 
 // Feed implements Feeder.
--- a/internal/membership/multisource/sink.go
+++ b/internal/membership/multisource/sink.go
@@ -7,8 +7,8 @@
 	"pinedale/internal/membership/reconcile"
 )
 
-// report applies one call of a feeder's sink to the reconciler. It is called on the goroutine
-// that owns the reconciler.
+// report applies one call of a sink method to the reconciler. It is called on the goroutine that
+// owns the reconciler.
 type report func(reconciler *reconcile.Reconciler, now time.Duration)
 
 // reportSink passes one feeder's reports to the goroutine that owns the reconciler. It
--- a/internal/membership/multisource/source.go
+++ b/internal/membership/multisource/source.go
@@ -58,7 +58,7 @@
 func (s *Source) Close() {}
 
 // Watch runs the feeders until ctx ends. It passes a complete list to notify first, and changes
-// after that. It returns only when ctx ends: if an input fails, it counts as unavailable.
+// after that. It returns only when ctx ends: an input that fails counts as unavailable.
 func (s *Source) Watch(
 	ctx context.Context, after *uint64, notify func(balancer.ListKind, engine.List),
 ) (*uint64, error) {
--- a/internal/membership/reconcile/config.go
+++ b/internal/membership/reconcile/config.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Kind is the type of a source. If sources differ on an endpoint's address, site, pod or share,
-// the lower kind takes precedence.
+// Kind is the type of a source. If sources differ on the address, site, pod or share of the same
+// incarnation of an endpoint, the lower kind takes precedence.
 type Kind uint8
 
 // The kinds of source, in order of precedence.
 const (
-	Ephemeral Kind = iota // the endpoint's own node, which exists while its session lives
-	Discovery             // a service that knows whether the process runs, seconds late
+	Ephemeral Kind = iota // the endpoint's own node, which exists until its session ends
+	Discovery             // a service that reports whether the process runs, with a delay of seconds
 	Static                // the operator's list
 )
 
@@ -21,8 +21,9 @@
 // Config holds the operator's settings.
 type Config struct {
 	// MaxShrinkRatio is the fraction of a source's endpoints that may be missing from its first
-	// list after an outage or from an older list. If more are missing, or the list is empty,
-	// they are retained: it is more likely that the source lost them than that they ended.
+	// list after an outage or from a list with a lower version than the previous one. If more are
+	// missing, or the list is empty, they are retained: it is more likely that the source lost
+	// them than that they ended.
 	MaxShrinkRatio float64
 	// HoldTime is how long endpoints are retained, so that they can register again. After that
 	// they are evicted, MaxShrinkRatio at a time, once per HoldTime. While the list is empty,
@@ -64,7 +65,7 @@
 	// one list.
 	minListInterval = 20 * time.Millisecond
 
-	// discoveryPollInterval is the interval of decisions on an endpoint that depends on
-	// discovery's next report.
+	// discoveryPollInterval is the interval at which an endpoint is decided on again while the
+	// decision depends on discovery's next report.
 	discoveryPollInterval = time.Second
 )
--- a/internal/membership/reconcile/decide.go
+++ b/internal/membership/reconcile/decide.go
@@ -109,7 +109,7 @@
 	return decision{host: host, listed: true, recheckAt: view.recheckAt}
 }
 
-// discoveryConfirms reports whether discovery overrules an endpoint's end. That is so if the
+// discoveryConfirms reports whether discovery overrules an endpoint's end. It does if the
 // endpoint's node vanished without a drain, and discovery listed the endpoint in a report after
 // MaxDiscoveryLag: the session has expired, but the process runs.
 func (r *Reconciler) discoveryConfirms(view *endpointView, name string) bool {
--- a/internal/membership/reconcile/doc.go
+++ b/internal/membership/reconcile/doc.go
@@ -10,9 +10,10 @@
 // # Rules
 //
 // A source has one claim on each endpoint that it has listed. The claim's state is up, draining,
-// vanished (no longer listed) or retained (missing from a list that is not trusted). A claim
-// supersedes another if its start time is newer or, if start times are equal or unknown, if it
-// began later. An end is a draining or vanished claim.
+// vanished (no longer listed) or retained (missing from a list that is not trusted; counts as up).
+// A claim supersedes another if its start time is newer or, if start times are equal or unknown, if
+// it began later. An end is a claim that is draining or vanished, or up but still in the backoff of
+// a flapping endpoint.
 //
 //	situation                                           result                              function
 //	--------------------------------------------------  ----------------------------------  -------------------------
@@ -31,7 +32,7 @@
 //	the same name returns in the same incarnation       ready, with its history             claim.update
 //	the third return within flapWindow                  ready only after it has stayed up   recordReturn
 //	                                                      for 1 s, then 2 s, 4 s up to 30 s
-//	removalLinger after an end without an up claim      removed, and its state deleted      decide
+//	vanished for removalLinger, and no claim is up      removed, and its state deleted      decide
 //	a source is unavailable                             its last list remains valid; the    SourceUnavailable
 //	                                                      claims of others count
 //	a source recovers or reports an older list, and     the missing endpoints are retained  Snapshot
--- a/internal/membership/reconcile/source.go
+++ b/internal/membership/reconcile/source.go
@@ -9,7 +9,7 @@
 	"pinedale/internal/engine"
 )
 
-// claimState is the state in which a source last reported an endpoint.
+// claimState is the state of an endpoint according to one source.
 type claimState uint8
 
 const (
@@ -23,8 +23,8 @@
 type claim struct {
 	state claimState
 	host  engine.Host
-	// since is when the endpoint was first listed, began to drain or vanished. Retaining it
-	// does not change this time.
+	// since is when the claim began: when the endpoint was listed, restarted, began to drain or
+	// vanished. Retaining the endpoint does not change this time.
 	since time.Duration
 	// wasDraining is set if the endpoint was draining when it vanished.
 	wasDraining bool
@@ -36,7 +36,8 @@
 
 	// upFrom is when an endpoint that flapped counts as up, if it does not vanish before.
 	upFrom time.Duration
-	// returns counts how often the endpoint returned within flapWindow of lastReturn.
+	// returns counts the endpoint's successive returns, each within flapWindow of the previous
+	// one. The last of them was at lastReturn.
 	returns    int
 	lastReturn time.Duration
 }
@@ -54,8 +55,8 @@
 	c.host = host
 }
 
-// supersedes reports whether the claim is about a later incarnation than other: it has a newer
-// start time or, if the start times are equal or unknown, it began later.
+// supersedes reports whether the claim takes precedence over other: it has a newer start time or,
+// if the start times are equal or unknown, it began later.
 func (c *claim) supersedes(other *claim) bool {
 	started, otherStarted := c.host.StartedMS, other.host.StartedMS
 	if started != 0 && otherStarted != 0 && started != otherStarted {
--- a/internal/membership/reconcile/suspect.go
+++ b/internal/membership/reconcile/suspect.go
@@ -90,8 +90,8 @@
 	return at
 }
 
-// evictAllDue evicts the retained endpoints that are due, of all sources. Each report calls it
-// first, so that evictions precede later reports even if List was not called in between.
+// evictAllDue evicts, for all sources, the retained endpoints that are due. Each report method calls
+// it first, so that evictions precede later reports even if List was not called in between.
 func (r *Reconciler) evictAllDue(now time.Duration) {
 	for _, source := range r.sources {
 		r.evictDue(now, source)
--- a/internal/membership/register/node.go
+++ b/internal/membership/register/node.go
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("node name is already registered by another server at %q", e.Address)
 }
 
-// ensureNode ensures that the node exists in the current session, unless the server drains. It
+// ensureNode ensures that the node exists in the current session, unless the server is draining. It
 // replaces a node of an earlier session of the server without waiting for that session to expire.
 func (r *Registrar) ensureNode() error {
 	r.mu.Lock()
--- a/internal/membership/register/register.go
+++ b/internal/membership/register/register.go
@@ -2,9 +2,9 @@
 // readers of package ephemeral list the server. When the server drains, it first marks the node
 // and then removes it.
 //
-// The goroutine that called [Registrar.Run] owns the session and resumes it after a lost
-// connection. The only persistent state is the node itself. It ends with the session, and a
-// restarted server replaces the node of the previous process.
+// The goroutine that called [Registrar.Run] owns the session, which the client library resumes
+// after a lost connection. The only persistent state is the node itself. It ends with the session,
+// and a restarted server replaces the node of the previous process.
 package register
 
 import (
@@ -30,8 +30,8 @@
 
 	// The registrar checks every maxCheckInterval whether others have removed the node, or
 	// checksPerSession times in a session timeout if that is more often. A watch would report
-	// a removal sooner, but when the library restores watches in a resumed session, that races
-	// with its reads.
+	// a removal sooner, but in a resumed session the library's restoring of watches races with
+	// the library's own reads.
 	maxCheckInterval = 2 * time.Second
 	checksPerSession = 3
 )
@@ -59,8 +59,8 @@
 	Log            *slog.Logger
 }
 
-// validate returns an error for the first invalid option. It checks the data by the rules that
-// readers apply.
+// validate returns an error for the first invalid option. It checks the data as readers do, except
+// that any site and any kind are valid.
 func (o *Options) validate() error {
 	data, err := json.Marshal(o.Data)
 	if err != nil {
--- a/internal/membership/registry/client.go
+++ b/internal/membership/registry/client.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// isOlderDelta reports whether list holds changes with a lower version than after. They belong to
-// another list than the client's, which then needs a complete list.
+// isOlderDelta reports whether list holds changes with a lower version than after. Such changes
+// belong to another list than the client's, so that the client must request the complete list.
 func isOlderDelta(list engine.List, after *uint64) bool {
 	return !list.Complete && after != nil && list.Version < *after
 }
@@ -98,8 +98,8 @@
 	return balancer.ListDelta
 }
 
-// fetch makes one call. If after is nil, it requests the complete list. Otherwise it requests
-// the changes since that version, for which the service waits up to wait.
+// fetch makes one call. If after is nil, it requests the complete list. Otherwise it requests the
+// changes since that version; if there are none yet, the service waits for them, up to wait.
 func (c *Client) fetch(ctx context.Context, after *uint64, wait time.Duration) (engine.List, error) {
 	timeout := c.timing.ListTimeout
 	if wait > 0 {
--- a/internal/membership/registry/timing.go
+++ b/internal/membership/registry/timing.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Timing holds the durations and timeouts of a client's calls.
+// Timing holds the durations and timeouts of a client's calls. They depend on the drain grace: the
+// time from the report that a server is draining until no new request may go to it.
 type Timing struct {
 	WatchWait   time.Duration // how long the service holds a watch call if nothing changes
 	WatchGrace  time.Duration // timeout of a watch call, in addition to WatchWait
@@ -29,9 +30,9 @@
 )
 
 // PushTiming is for an agent on the instance's own machine, where calls are fast and cheap. A
-// change counts as reported as soon as the agent knows it, even if the client's calls fail. After
-// the drain grace no new request may go to a server that was reported draining, so a lost call
-// must be detected and repeated within it. All durations together are less than half of it.
+// change counts as reported as soon as the agent knows it, even if the client's calls fail. A lost
+// call must therefore be detected and repeated within the drain grace: a lost watch call and the
+// call that repeats it take at most half of the grace, all durations together 55 % of it.
 func PushTiming(grace time.Duration) Timing {
 	grace = min(max(grace, minPushGrace), maxPushGrace)
 	return Timing{
--- a/internal/membership/zkconn/zkconn.go
+++ b/internal/membership/zkconn/zkconn.go
@@ -23,7 +23,7 @@
 	Log              *slog.Logger
 }
 
-// Conn is a connection of the library. Open returns one; Close must be called on it.
+// Conn is a connection of the library. The caller of Open must call Close.
 type Conn struct {
 	*zk.Conn
 	digest        string
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -31,7 +31,7 @@
 //	two replicas of an entry            result
 //	----------------------------------  -------------------------------------------------------
 //	sequence numbers differ             the higher number, regardless of the order of arrival
-//	same sequence number                they are the same entry; the greater age is kept
+//	same sequence number                they are the same entry; beyond a gap, the greater age is kept
 //	one is withdrawn                    the higher number: a withdrawal has a sequence number, too
 //	epochs of the origin differ         both are kept, like those of two instances, until they expire by
 //	(restart, copied data directory,    age
@@ -49,9 +49,9 @@
 // An expired entry does not reappear. An entry is valid for its topic's TTL; after that, each
 // replica removes it independently. A withdrawn entry is kept as a tombstone for the same time.
 // After it has removed an entry, a replica still knows the sequence number up to which it is
-// complete, and accepts no entry with a lower number.
+// complete, and accepts no entry with that number or a lower one.
 //
-// An origin from which no entry was received for Limits.OriginTTL is evicted with all its
+// An origin from which no new entry was received for Limits.OriginTTL is evicted with all its
 // entries. Its epoch is kept as a floor: later incarnations of its name must have a higher epoch.
 // The floors of at most Limits.MaxOrigins names are kept, and the oldest are discarded first. Only
 // a message that was delayed for longer than OriginTTL, of a name whose floor was discarded, can
--- a/internal/replication/limits.go
+++ b/internal/replication/limits.go
@@ -17,11 +17,11 @@
 // Rule describes the entries of a topic.
 type Rule struct {
 	TTL     time.Duration            // how long an entry is valid after it was written
-	Indexed bool                     // View does not scan other topics; for topics with few entries and frequent views
+	Indexed bool                     // View does not scan other topics; for topics with few entries and many views
 	Check   func(value []byte) error // validates a value
 }
 
-// Limits bound the memory of a store for any messages that it receives, and the size of messages.
+// Limits bound the memory of a store, whatever messages it receives, and the size of messages.
 type Limits struct {
 	MaxOrigins           int           // known origins; also the number of floors that are kept
 	MaxEntries           int           // entries of one origin
@@ -79,7 +79,7 @@
 	return rule.Check(value)
 }
 
-// acceptable reports whether a received entry is valid, a value or a tombstone.
+// acceptable reports whether a received entry, which has a value or is a tombstone, is valid.
 func (v validator) acceptable(entry Entry) bool {
 	_, known := v.rules[entry.Topic]
 	if !known || entry.Age < 0 || entry.Subject == "" || len(entry.Subject) > v.limits.MaxSubjectBytes {
--- a/internal/replication/originstate.go
+++ b/internal/replication/originstate.go
@@ -77,8 +77,8 @@
 	return vector
 }
 
-// contains reports whether the entry of a sequence number is stored, or was stored until it was
-// replaced or expired.
+// contains reports whether the entry of a sequence number is stored, or the replica is complete up
+// to that number; in the latter case the entry may have been replaced or have expired.
 func (o *originState) contains(seq uint64) bool {
 	if seq <= o.completeTo {
 		return true
--- a/internal/replication/rumours.go
+++ b/internal/replication/rumours.go
@@ -10,7 +10,7 @@
 	remaining int // number of times that it will be sent
 }
 
-// rumourQueue holds the entries to be forwarded. Those that were sent least often come first.
+// rumourQueue holds the entries to be forwarded. An entry that must be sent again moves to the end.
 type rumourQueue struct {
 	queued        []queuedRumour
 	capacity      int
--- a/internal/replication/store.go
+++ b/internal/replication/store.go
@@ -17,10 +17,10 @@
 	origins  map[Origin]*originState
 	floors   epochFloors
 	rumours  rumourQueue
-	rejected uint64 // number of entries and messages
+	rejected uint64 // number of rejected entries and messages
 }
 
-// NewStore returns a store without entries that is written by self.
+// NewStore returns a store without entries. self is the incarnation whose entries it writes.
 func NewStore(self Origin, rules map[Topic]Rule, limits Limits) *Store {
 	return &Store{
 		validator: validator{rules: rules, limits: limits},
@@ -69,7 +69,7 @@
 
 // renumberAbove writes all local entries again if another replica's vector has a higher sequence
 // number for this incarnation than this store has assigned. Another instance has then distributed
-// entries in its name, and replicas that have them would ignore entries with lower numbers.
+// entries in this one's name, and replicas that have them would ignore entries with lower numbers.
 func (s *Store) renumberAbove(now time.Duration, remote Vector) {
 	if remote.Origin != s.self || remote.CompleteTo <= s.seq || remote.CompleteTo-s.seq > maxSeqGap {
 		return
--- a/internal/replication/vectors.go
+++ b/internal/replication/vectors.go
@@ -62,7 +62,7 @@
 	return deltas, local
 }
 
-// behind reports whether this replica is missing entries that another one has, by its vector.
+// behind reports whether this replica is missing entries that another one has according to its vector.
 func (s *Store) behind(remote Vector) bool {
 	if remote.Origin == s.self {
 		return false
@@ -74,9 +74,9 @@
 	return state.completeTo < remote.CompleteTo || state.vector().BeyondHash != remote.BeyondHash
 }
 
-// missingDeltas returns the deltas of origins in some buckets that another replica is missing, by
-// its vectors. The deltas of the first origin are all returned. Those of further origins are returned
-// up to MaxDeltasPerResponse.
+// missingDeltas returns the deltas of origins in some buckets that another replica is missing
+// according to its vectors. The deltas of the first origin are all returned. Those of further origins
+// are returned up to MaxDeltasPerResponse.
 func (s *Store) missingDeltas(now time.Duration, buckets []int, remote map[Origin]Vector) []Delta {
 	requested := map[int]bool{}
 	for _, bucket := range buckets {
@@ -101,7 +101,7 @@
 	return deltas
 }
 
-// ahead reports whether another replica is missing entries of the origin, by its vector.
+// ahead reports whether another replica is missing entries of the origin according to its vector.
 func (o *originState) ahead(remote Vector) bool {
 	local := o.vector()
 	return remote.CompleteTo < local.CompleteTo || local.BeyondHash != 0 && local.BeyondHash != remote.BeyondHash
--- a/internal/replication/view.go
+++ b/internal/replication/view.go
@@ -29,8 +29,8 @@
 	return records
 }
 
-// Contains reports whether an origin's entry of a sequence number is stored, or was stored until it
-// was replaced or expired.
+// Contains reports whether an origin's entry of a sequence number is stored, or the replica is
+// complete up to that number; in the latter case the entry may have been replaced or have expired.
 func (s *Store) Contains(id Origin, seq uint64) bool {
 	state := s.origins[id]
 	return state != nil && state.contains(seq)
--- a/internal/subset/doc.go
+++ b/internal/subset/doc.go
@@ -1,7 +1,7 @@
 // Package subset selects the servers of a large fleet that one instance connects to, probes
 // and sends requests to. If each of thousands of instances used every server, connections and
-// probes alone would load the servers, and the cost of a routing decision grows with the number
-// of servers it chooses from. The package does no I/O and reads no clock.
+// probes alone would load the servers, and the cost of a routing decision would grow with the size
+// of the fleet. The package does no I/O and reads no clock.
 //
 //	topic                           selection
 //	small fleet                     every server, if there are no more than the wanted size
--- a/internal/subset/size.go
+++ b/internal/subset/size.go
@@ -19,7 +19,7 @@
 	perInFlight float64
 	size        int // number of servers wanted
 
-	shrinking   bool      // a size below shrinkRatio has been sufficient since shrinkSince
+	shrinking   bool      // a size below shrinkRatio of the current one has sufficed since shrinkSince
 	shrinkSince time.Time // if shrinking
 	shrinkSize  int       // if shrinking: the largest size needed since shrinkSince
 }
