--- a/cmd/pinedale-proxy/check.go
+++ b/cmd/pinedale-proxy/check.go
@@ -11,7 +11,7 @@
 	"pinedale/internal/policy"
 )
 
-// printCheckJSON prints the table of a valid file as JSON.
+// printCheckJSON prints the version, the warnings and the table of a valid file as JSON.
 func printCheckJSON(out io.Writer, file *config.File) error {
 	var warnings []string
 	for _, warning := range file.Warnings() {
@@ -54,5 +54,5 @@
 	return columns.Flush()
 }
 
-// orDash returns a dash for an empty cell.
+// orDash returns a cell, or a dash if the cell is empty.
 func orDash(cell string) string { return cmp.Or(cell, "-") }
--- a/cmd/pinedale-proxy/explain.go
+++ b/cmd/pinedale-proxy/explain.go
@@ -12,8 +12,8 @@
 	"pinedale/internal/requestmeta"
 )
 
-// explain prints the class of a request, and for each route why it is chosen or not. args are the method, the path
-// and headers.
+// explain prints the class of a request, and why each route is selected or not. args are the method, the path and
+// headers.
 func explain(out io.Writer, file *config.File, args []string) error {
 	query, err := parseQuery(args)
 	if err != nil {
--- a/cmd/pinedale-proxy/peers.go
+++ b/cmd/pinedale-proxy/peers.go
@@ -16,7 +16,7 @@
 // statusTimeout bounds the request for a status page.
 const statusTimeout = 5 * time.Second
 
-// peersCommand returns the commands on other instances. The addresses of its arguments are those of peers.status.
+// peersCommand returns the commands on other instances. Addresses in their arguments are values of peers.status.
 func (c *commandLine) peersCommand() *cobra.Command {
 	peers := &cobra.Command{Use: "peers", Short: "print and compare the status of instances"}
 	peers.AddCommand(&cobra.Command{
--- a/cmd/pinedale-proxy/serve.go
+++ b/cmd/pinedale-proxy/serve.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// reload loads the file again and lets the instance use it. After an error nothing has changed.
+// reload loads the file again and applies it to the instance. After an error nothing has changed.
 func reload(instance *app.Instance, path string) error {
 	next, err := instance.LoadNext(path)
 	if err != nil {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,7 @@
 // Command simhost runs balancers behind the simulator's protocol: it reads batches of events from standard input and
-// writes one reply to each to standard output. It ends at the end of input, or with an error at a malformed frame. If
-// an instance panics or has invalid settings, simhost writes an exception record and keeps the other instances running.
+// writes one reply for each batch to standard output. It ends at the end of input, or with an error at a malformed
+// frame. If an instance panics or has invalid settings, simhost writes an exception record and keeps the other
+// instances running.
 package main
 
 import (
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -65,7 +65,7 @@
 	classes   []classState
 	windowEnd balancer.Micros
 	brownout  brownout
-	fillOrder []int           // buffer of assignQuotas: tenants by demand over weight
+	fillOrder []int           // buffer of assignQuotas: tenants by their ratio of demand to weight
 	retrySlot balancer.Micros // slot of the last rejected request, 1 to retrySlots
 }
 
@@ -117,7 +117,7 @@
 	a.advanceWindow(now)
 	tenant, class := a.lookup(in)
 	if tenant == nil || class == nil {
-		return 0, true // the request has numbers of an earlier configuration
+		return 0, true // no limits are known for these numbers
 	}
 	tenant.requested++
 	class.requested++
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -9,10 +9,10 @@
 //   - its own share, which is reserved for it, and
 //   - its max-min fair share, computed from the demand of all tenants in the previous window.
 //
-// A tenant that returns therefore has its share at once, and more than the rate is admitted for at
-// most one window. A tenant saves the unused part of its quota, up to the share of five windows:
-// arrivals are bursty, and a tenant that requests nine tenths of its share would otherwise lose a
-// twentieth of it.
+// A tenant that sends requests again after a pause therefore has its share at once, and more than
+// the rate is admitted for at most one window. A tenant saves the unused part of its quota, up to
+// the share of five windows: arrivals are bursty, and a tenant that requests nine tenths of its
+// share would otherwise lose a twentieth of it.
 //
 //	admission.go  limits, Admit and Release
 //	window.go     transition between two windows: brownout and quotas
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -40,7 +40,7 @@
 }
 
 // advanceWindow begins a new window if the current one has ended. If a complete window without
-// requests has passed since, the previous demand is 0.
+// requests lies between the two, the demand before the new window is 0.
 func (a *Admission) advanceWindow(now balancer.Micros) {
 	if now < a.windowEnd {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// nextBrownout returns the brownout of the next window by the classes' demand in the current one.
+// nextBrownout returns the brownout of the next window, computed from the classes' demand in the current one.
 // The capacity goes to the levels in ascending order. The first level whose demand exceeds the
 // remaining capacity gets what remains, and the levels above it are shed.
 func (a *Admission) nextBrownout() brownout {
--- a/internal/app/cluster.go
+++ b/internal/app/cluster.go
@@ -20,7 +20,7 @@
 	statusShutdownTimeout = time.Second
 )
 
-// Build is the name of this build, which other instances receive. The linker may set it.
+// Build is the name of this build, which is sent to other instances. The linker may set it.
 var Build = "unnamed"
 
 // clusterConfig returns the configuration of the connection to other instances.
@@ -44,7 +44,7 @@
 		agreement := class.ClusterAgreement()
 		settings.Classes = append(settings.Classes, cluster.Class{Name: class.Name, Agreement: agreement})
 		if agreement != cluster.AgreeNever {
-			// A client retries within the deadline of its first request, and its retry has another deadline.
+			// A client may retry until the deadline of its first request, and the retry has a deadline of its own.
 			settings.LeaseDuration = max(settings.LeaseDuration, 2*time.Duration(class.Deadline))
 		}
 	}
--- a/internal/app/fronts.go
+++ b/internal/app/fronts.go
@@ -15,7 +15,7 @@
 
 const (
 	// keepAliveDivisor sets the keep-alive threshold: when more than 1/keepAliveDivisor of the permitted client
-	// connections have carried a request, responses close theirs.
+	// connections have carried a request, each response closes its connection.
 	keepAliveDivisor = 3
 	// bodyMemoryDivisor bounds request bodies: each HTTP front may use 1/bodyMemoryDivisor of the memory for them.
 	bodyMemoryDivisor = 8
--- a/internal/app/instance.go
+++ b/internal/app/instance.go
@@ -31,8 +31,9 @@
 	readyTimeout = 10 * time.Second
 	// readyInterval is how often WaitReady checks.
 	readyInterval = time.Millisecond
-	// gcPercent is the heap growth, in percent of the live heap, that starts a collection while there is memory:
-	// the external processor's entries live for seconds, and frequent collections would cost more than they free.
+	// gcPercent is the heap growth, in percent of the live heap, that starts a collection while the heap is below
+	// the memory limit: the external processor's entries live for seconds, and frequent collections would cost more
+	// than they free.
 	gcPercent = 300
 )
 
@@ -43,7 +44,7 @@
 	HTTP3   net.Addr
 	ExtProc net.Addr
 
-	Status net.Addr      // of the status page on other instances, nil without one
+	Status net.Addr      // address of the status page on other instances, nil without one
 	Peers  *cluster.Node // connection to other instances, nil without one
 
 	file   *config.File // the file that the instance was started with
@@ -59,7 +60,7 @@
 	extProc     *extproc.Server // nil if it is not switched on
 
 	fronts      int
-	frontErrors chan error // one for each front; its capacity lets a front end before Wait is called
+	frontErrors chan error // the result of each front; its capacity lets a front end before Wait is called
 
 	endFronts     context.CancelFunc // begins the graceful shutdown
 	stopEngine    context.CancelFunc // called once the fronts have ended
@@ -67,8 +68,8 @@
 	closePeers    func()             // called after the fronts: ends the status page and the connection to other instances
 }
 
-// Start opens the file's sockets, starts the engine, the connection to other instances and the fronts, and returns
-// without waiting for them. After an error nothing is left running.
+// Start opens the sockets of the fronts, starts the engine, the connection to other instances and the fronts, and
+// returns without waiting for them. After an error nothing is left running.
 func Start(file *config.File, log *slog.Logger) (*Instance, error) {
 	i := &Instance{file: file, log: log, frontErrors: make(chan error, maxFronts)}
 	var err error
--- a/internal/app/router.go
+++ b/internal/app/router.go
@@ -5,7 +5,7 @@
 	"pinedale/internal/requestmeta"
 )
 
-// router lets the fronts look up a compiled table. It is immutable.
+// router lets the fronts look up requests in a compiled table. It is immutable.
 type router struct {
 	table  *policy.Table
 	bounds map[*policy.Bounds]*requestmeta.Bounds
--- a/internal/app/stores.go
+++ b/internal/app/stores.go
@@ -35,7 +35,7 @@
 	return open, nil
 }
 
-// run watches the files of all stores in goroutines, which running counts, until ctx is cancelled.
+// run watches the files of each store in a goroutine of running, until ctx is cancelled.
 func (s stores) run(ctx context.Context, running *sync.WaitGroup) {
 	for _, store := range s {
 		running.Go(func() { store.Run(ctx) })
--- a/internal/certstore/conn.go
+++ b/internal/certstore/conn.go
@@ -73,7 +73,7 @@
 	return c.lifetime
 }
 
-// StateAt returns the fields of Lifetime.At of the connection, for callers that do not import this package. The
+// StateAt returns the fields of the connection's ConnState at a time, for callers that do not import this package. The
 // handshake must be complete.
 func (c *Conn) StateAt(now time.Time) (usable, trusted bool, reason string) {
 	state := c.Lifetime().At(now)
--- a/internal/certstore/lifetime.go
+++ b/internal/certstore/lifetime.go
@@ -23,7 +23,7 @@
 // lastConnID is the last connection ID that was assigned, in all stores.
 var lastConnID atomic.Uint64
 
-// Lifetime returns the lifetime of a connection after its handshake, in which the peer was verified for a usage.
+// Lifetime returns the lifetime of a connection whose handshake has verified the peer for a usage.
 // generation is the value of Generation before the handshake.
 func (s *Store) Lifetime(state tls.ConnectionState, usage x509.ExtKeyUsage, generation int) *Lifetime {
 	return &Lifetime{
@@ -39,9 +39,9 @@
 	}
 }
 
-// ConnState is whether a connection may be used.
+// ConnState tells whether a connection may be used.
 type ConnState struct {
-	Usable  bool   // the connection may carry new requests; otherwise it must be closed after those in flight
+	Usable  bool   // the connection may carry new requests; otherwise it must be closed once those in flight have ended
 	Trusted bool   // the peer would be accepted now
 	Reason  string // why the connection is not usable or will be replaced, "" if there is no reason
 }
--- a/internal/certstore/tlsconfig.go
+++ b/internal/certstore/tlsconfig.go
@@ -44,7 +44,7 @@
 	latest    atomic.Pointer[protocolConfig]
 }
 
-// protocolConfig is the server configuration of a snapshot with protocols.
+// protocolConfig is the server configuration of a snapshot with the protocols of a serverConfigCache.
 type protocolConfig struct {
 	snapshot *snapshot
 	config   *tls.Config
--- a/internal/certstore/validate/doc.go
+++ b/internal/certstore/validate/doc.go
@@ -19,8 +19,8 @@
 //	NotYetValid  the validity of a certificate begins later             pending until then
 //	Expired      the validity of the certificate has ended              rejected, unless expiry is permitted
 //	Untrusted    no chain leads from the certificate to a trusted root  rejected
-//	Revoked      a revocation list of the issuer contains it            rejected
+//	Revoked      a revocation list of the issuer lists the certificate  rejected
 //
-// The first three are transient: a certificate and its key are two files that are replaced one after the other, so that
-// a reader may find one new and one old file for a short time.
+// The first three faults are transient: a certificate and its key are two files that are replaced one after the other,
+// so that a reader may find one new and one old file for a short time.
 package validate
--- a/internal/certstore/validate/retirement.go
+++ b/internal/certstore/validate/retirement.go
@@ -21,7 +21,7 @@
 	PeerUntrusted bool // the peer would be rejected now, and no more data may be exchanged with it
 }
 
-// PeerRequirements returns the requirements on a peer of any name.
+// PeerRequirements returns the requirements on a peer, without those on its names.
 func (r *Rotation) PeerRequirements(usage x509.ExtKeyUsage) ChainRequirements {
 	return ChainRequirements{
 		Usage:       usage,
@@ -33,8 +33,8 @@
 // Retirement returns when a connection retires:
 //
 //	the peer's chain would be rejected now  now
-//	the local certificate has expired       now
-//	its material was replaced               at a time that depends on its ID, in the period after the replacement
+//	the local certificate has expired       now, unless AllowExpired is set
+//	the connection's material was replaced  at a time that depends on its ID, in the period after the replacement
 //
 // For a resumed session, conn.Peer is the chain that was verified when the ticket was issued, since the peer has proved
 // only that it has the ticket.
--- a/internal/certstore/validate/validate.go
+++ b/internal/certstore/validate/validate.go
@@ -153,8 +153,8 @@
 	return chains[0], nil
 }
 
-// checkStrength returns an error for weak keys and signatures. The signature of a self-signed root is not checked: the
-// root is trusted because the operator configured it.
+// checkStrength returns an error for weak keys and signatures. It does not check the signature of a certificate whose
+// issuer is its subject: such a root is trusted because the operator configured it.
 func checkStrength(cert *x509.Certificate, minRSABits int) error {
 	switch key := cert.PublicKey.(type) {
 	case *rsa.PublicKey:
--- a/internal/cli/normalize.go
+++ b/internal/cli/normalize.go
@@ -152,7 +152,7 @@
 	return findFlag(n.root, name)
 }
 
-// shorthand returns the flag with a shorthand of the selected command or one of its parents.
+// shorthand returns the flag of the selected command or one of its parents that has the shorthand letter, or nil.
 func (n *normalizer) shorthand(letter string) *pflag.Flag {
 	if flag := n.command.Flags().ShorthandLookup(letter); flag != nil {
 		return flag
@@ -160,7 +160,7 @@
 	return n.command.InheritedFlags().ShorthandLookup(letter)
 }
 
-// findFlag returns the flag with a name of a command or one of its subcommands, nil if there is none.
+// findFlag returns the flag of a command or one of its subcommands that has a name, nil if there is none.
 func findFlag(command *cobra.Command, name string) *pflag.Flag {
 	if flag := command.Flag(name); flag != nil {
 		return flag
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -13,7 +13,7 @@
 // fileVersion is the version of the file format that this program reads.
 const fileVersion = 1
 
-// checker records every error of a file.
+// checker collects the errors that the checks of a file find.
 type checker struct {
 	*tomlfile.File
 	file     *File
@@ -41,7 +41,7 @@
 	c.checkSettings()
 }
 
-// checkSettings has the balancer check its settings if no error has been found so far.
+// checkSettings lets the balancer check its settings, if no error has been found so far.
 func (c *checker) checkSettings() {
 	if !c.Valid() {
 		return
@@ -61,7 +61,7 @@
 	c.Require(err == nil && port != "", key, "%q is not host:port", value)
 }
 
-// knownNames lists the keys of a map for an error.
+// knownNames lists the keys of a map for an error message.
 func knownNames[T any](known map[string]T) string {
 	return strings.Join(slices.Sorted(maps.Keys(known)), ", ")
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -20,7 +20,7 @@
 type File struct {
 	Version int    `toml:"version"` // of the file format
 	Name    string `toml:"name"`    // of this instance
-	Site    string `toml:"site"`    // where this instance runs, one of Fleet.Sites
+	Site    string `toml:"site"`    // site of this instance, one of Fleet.Sites
 
 	HTTP       HTTP       `toml:"http"`
 	HTTP3      HTTP3      `toml:"http3"`
@@ -49,7 +49,7 @@
 // Warnings returns the settings of the file that are valid but probably a mistake.
 func (f *File) Warnings() []*FileError { return f.warnings }
 
-// Table returns the compiled classes and routes.
+// Table returns the compiled classes, routes, pools and tenants.
 func (f *File) Table() *policy.Table { return f.table }
 
 // PeerKeys returns the keys that encrypt messages between instances, the first for sending; nil for none.
@@ -58,7 +58,7 @@
 // EphemeralDigest returns user:password for digest authentication with ZooKeeper, "" for none.
 func (f *File) EphemeralDigest() string { return f.digest }
 
-// LongestDeadline returns the longest deadline of a class.
+// LongestDeadline returns the longest deadline of a class. Deadlines that routes set are not included.
 func (f *File) LongestDeadline() (longest time.Duration) {
 	for i := range f.Classes {
 		longest = max(longest, time.Duration(f.Classes[i].Deadline))
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -11,7 +11,8 @@
 // maxFileBytes bounds the operator's file: 10,000 servers take about 1 MiB.
 const maxFileBytes = 4 << 20
 
-// Load reads and checks the operator's file. Its error joins one *FileError for each error of the file.
+// Load reads and checks the operator's file. Its error joins one *FileError for each error that was found. Values are
+// checked only if the file can be decoded.
 func Load(path string) (*File, error) { return load(path, nil) }
 
 // Parse is Load for the text of a file.
--- a/internal/config/section_class.go
+++ b/internal/config/section_class.go
@@ -44,12 +44,12 @@
 	Name             string   `toml:"name" json:"Name"`
 	Idempotency      string   `toml:"repeat" json:"Repeat"` // a key of idempotencies
 	Group            string   `toml:"group" json:"Group"`   // servers that share idempotency keys, a key of groups
-	DedupWindow      Duration `toml:"window" json:"Window"` // for which servers keep an idempotency key
+	DedupWindow      Duration `toml:"window" json:"Window"` // how long servers keep an idempotency key
 	LatencyObjective Duration `toml:"aim" json:"Aim"`
 	PriorityWeight   *float64 `toml:"worth" json:"Worth"`          // 1 if not set
-	LateWeightRatio  float64  `toml:"late_worth" json:"LateWorth"` // of the weight, after the latency objective
-	HedgeQuantile    float64  `toml:"copy_at" json:"CopyAt"`       // of latency, at which a hedge is sent
-	TypicalWork      Duration `toml:"usual" json:"Usual"`          // of a request, for warnings
+	LateWeightRatio  float64  `toml:"late_worth" json:"LateWorth"` // fraction of the weight after the latency objective
+	HedgeQuantile    float64  `toml:"copy_at" json:"CopyAt"`       // latency quantile at which a hedge is sent
+	TypicalWork      Duration `toml:"usual" json:"Usual"`          // typical service time of a request, for warnings
 	Clients          string   `toml:"clients" json:"Clients"`      // what clients retry by themselves
 	MaxInFlight      int      `toml:"open" json:"Open"`            // 0 for no limit
 	BrownOut         int      `toml:"brown_out" json:"BrownOut"`   // under overload higher numbers are shed first
--- a/internal/config/section_fleet.go
+++ b/internal/config/section_fleet.go
@@ -27,16 +27,16 @@
 	"eps":        balancer.FieldErrors,
 }
 
-// Fleet is the section of what servers have in common. DrainGrace and DrainTime are part of the file's version.
+// Fleet is the section of settings that all servers share. DrainGrace and DrainTime are part of the file's version.
 type Fleet struct {
 	Sites            []string `toml:"sites"`
-	Kinds            []string `toml:"kinds"`     // of servers, by their hardware
-	Instances        int      `toml:"instances"` // of pinedale in front of this fleet
+	Kinds            []string `toml:"kinds"`     // kinds of servers, by their hardware
+	Instances        int      `toml:"instances"` // number of pinedale instances in front of this fleet
 	LoadFields       []string `toml:"reports"`   // fields of the servers' load reports
 	DrainGrace       Duration `toml:"drain_grace"`
-	DrainTime        Duration `toml:"drain_for"`     // after which a draining server stops, 0 if not known
+	DrainTime        Duration `toml:"drain_for"`     // time until a draining server stops, 0 if not known
 	SlowStartRatio   float64  `toml:"cold_from"`     // fraction of its capacity that a started server has at first
-	SlowStartTime    Duration `toml:"warm_within"`   // until a started server has its full capacity
+	SlowStartTime    Duration `toml:"warm_within"`   // time until a started server has its full capacity
 	OverloadMultiple float64  `toml:"fall_factor"`   // load that makes a server fail, as a multiple of its capacity
 	OverloadTime     Duration `toml:"fall_after"`    // how long that load must last until the server fails
 	MinSubset        int      `toml:"subset"`        // min servers that this instance uses, 0 for the whole fleet
--- a/internal/config/section_http3.go
+++ b/internal/config/section_http3.go
@@ -8,7 +8,7 @@
 	Listen         string `toml:"listen"` // UDP host:port, "" to switch it off
 	Keys           string `toml:"keys"`   // name of the [[keys]] for TLS
 	MaxConnections int    `toml:"connections"`
-	MaxStreams     int    `toml:"streams"` // open at once on one connection
+	MaxStreams     int    `toml:"streams"` // max streams open at once on one connection
 	EarlyData      bool   `toml:"early"`   // accept 0-RTT requests of idempotent classes
 }
 
--- a/internal/config/section_keys.go
+++ b/internal/config/section_keys.go
@@ -34,23 +34,23 @@
 	KeyFile         string   `toml:"key_file"`
 	RootsFile       string   `toml:"roots_file"`
 	RevokedFile     string   `toml:"revoked_file"`
-	Names           []string `toml:"names"`     // that the certificate must be valid for
+	Names           []string `toml:"names"`     // names that the certificate must be valid for
 	MinRSABits      int      `toml:"least_rsa"` // 0 for minRSABits
 	MinTLSVersion   string   `toml:"least_tls"` // a key of tlsVersions
 	AllowExpired    bool     `toml:"permit_over"`
-	PeerExpiryGrace Duration `toml:"peers_over"`     // for which expired certificates of peers are accepted
-	ReplacementTime Duration `toml:"replace_within"` // over which connections are replaced, 0 for the default
+	PeerExpiryGrace Duration `toml:"peers_over"`     // how long expired certificates of peers are still accepted
+	ReplacementTime Duration `toml:"replace_within"` // period over which connections are replaced, 0 for the default
 }
 
-// KeyUser is a key of the file that refers to a [[keys]] entry.
+// KeyUser is a setting of the file that refers to a [[keys]] entry.
 type KeyUser struct {
-	Key     string // as the file writes it
-	Entry   string // name of the [[keys]] entry, "" if it is not set
-	Enabled bool   // the front that the key belongs to is switched on
+	Key     string // name of the setting, such as "http.keys"
+	Entry   string // name of the [[keys]] entry, "" if the setting is absent
+	Enabled bool   // the front that the setting belongs to is switched on
 	Server  bool   // the certificate is presented as a server's, otherwise as a client's
 }
 
-// KeyUsers returns all keys of the file that refer to a [[keys]] entry.
+// KeyUsers returns all settings that may refer to a [[keys]] entry.
 func (f *File) KeyUsers() [4]KeyUser {
 	return [...]KeyUser{
 		{Key: "http.keys", Entry: f.HTTP.Keys, Enabled: f.HTTP.Listen != "", Server: true},
@@ -60,7 +60,8 @@
 	}
 }
 
-// usedByFront reports whether a [[keys]] entry is that of a front, which is a server.
+// usedByFront reports whether the certificate of a [[keys]] entry is checked as that of a front, which is a server.
+// This is so for every entry except the upstream's, also if nothing uses it.
 func (f *File) usedByFront(name string) bool { return f.Upstream.Keys != name }
 
 // paths returns the names of the files.
--- a/internal/config/section_limits.go
+++ b/internal/config/section_limits.go
@@ -16,13 +16,13 @@
 	ClientConnections   int      `toml:"client_connections" json:"ClientConnections"`
 	UpstreamConnections int      `toml:"upstream_connections" json:"UpstreamConnections"`
 	OpenRequests        int      `toml:"open_requests" json:"OpenRequests"` // max requests in flight
-	MaxAttempts         int      `toml:"attempts" json:"Attempts"`          // of one request
+	MaxAttempts         int      `toml:"attempts" json:"Attempts"`          // max attempts of one request
 	Hedging             bool     `toml:"second_copies" json:"SecondCopies"`
 	LoadProbes          bool     `toml:"probes" json:"Probes"`
 	MaxRetryAfter       Duration `toml:"retry_after_most" json:"RetryAfterMost"` // 0 to send no Retry-After
 	DialTimeout         Duration `toml:"dial_timeout" json:"DialTimeout"`
 	IdleTimeout         Duration `toml:"idle_timeout" json:"IdleTimeout"` // of connections to servers
-	TimerSlack          Duration `toml:"timer_slack" json:"TimerSlack"`   // by which timers may fire late
+	TimerSlack          Duration `toml:"timer_slack" json:"TimerSlack"`   // max delay of a timer
 	ClockDrift          float64  `toml:"clock_error" json:"ClockError"`   // max relative difference of two clocks' rates
 	AdmitRate           float64  `toml:"admit_rate" json:"AdmitRate"`     // requests a second, 0 for no limit
 }
@@ -43,7 +43,7 @@
 		DialTimeout:         Duration(250 * time.Millisecond),
 		IdleTimeout:         Duration(5 * time.Second),
 		TimerSlack:          Duration(10 * time.Millisecond),
-		ClockDrift:          0.0005, // 500 ppm: an ordinary quartz is within 100
+		ClockDrift:          0.0005, // 500 ppm: an ordinary quartz oscillator is within 100
 	}
 }
 
--- a/internal/config/section_membership.go
+++ b/internal/config/section_membership.go
@@ -25,14 +25,14 @@
 // Ephemeral is the section of ephemeral nodes, by which servers register in ZooKeeper.
 type Ephemeral struct {
 	Servers        []string `toml:"servers"` // host:port of the ZooKeeper servers, empty for none
-	Path           string   `toml:"path"`    // of the nodes' parent
+	Path           string   `toml:"path"`    // parent of the nodes
 	SessionTimeout Duration `toml:"session"`
 	DigestFile     string   `toml:"digest_file"` // holds user:password for digest authentication
 }
 
 // Membership is the section on how several sources of membership are combined.
 type Membership struct {
-	MaxShrinkRatio  float64  `toml:"shrink_most"` // of servers that may be missing after a source reconnects
+	MaxShrinkRatio  float64  `toml:"shrink_most"` // max fraction of servers missing after a source recovers
 	HoldTime        Duration `toml:"hold"`
 	MaxDiscoveryLag Duration `toml:"lag"`
 }
--- a/internal/config/section_peers.go
+++ b/internal/config/section_peers.go
@@ -33,7 +33,7 @@
 	Via          map[string]string `toml:"via"`       // by instance name, host:port of a relay to it
 	KeysFile     string            `toml:"keys_file"` // keys that encrypt the messages, "" for none
 	Voters       []string          `toml:"witnesses"` // names of the instances that grant leases
-	LeaseTimeout Duration          `toml:"wait"`      // of a lease request
+	LeaseTimeout Duration          `toml:"wait"`      // timeout of a lease request
 	Status       string            `toml:"status"`    // host:port of the status page, "" for none
 }
 
@@ -113,8 +113,8 @@
 // errNoPeerKeys is the error of a keys file without a key.
 var errNoPeerKeys = errors.New("the file contains no key")
 
-// readPeerKeys reads a keys file: one key a line in base64, empty lines and comments with #. The first key encrypts;
-// each decrypts.
+// readPeerKeys reads a keys file, which has one base64 key a line; empty lines and lines that begin with # are skipped.
+// The first key encrypts messages, and every key decrypts them.
 func readPeerKeys(path string) (keys [][]byte, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/section_route.go
+++ b/internal/config/section_route.go
@@ -35,7 +35,7 @@
 // versionText before any change.
 type Tenant struct {
 	Name   string  `toml:"name" json:"Name"`
-	Weight float64 `toml:"weight" json:"Weight"` // of its quota, relative to those of other tenants
+	Weight float64 `toml:"weight" json:"Weight"` // weight of its quota, relative to those of other tenants
 	Open   int     `toml:"open" json:"Open"`     // max requests in flight, 0 for no limit
 }
 
--- a/internal/config/section_server.go
+++ b/internal/config/section_server.go
@@ -16,7 +16,7 @@
 	maxServerWeight = 1e6
 )
 
-// Server is a [[server]] of a fleet whose members the file lists.
+// Server is a [[server]] entry, a server that the file itself lists.
 type Server struct {
 	Name       string   `toml:"name"`
 	Address    string   `toml:"address"` // host:port
@@ -24,7 +24,7 @@
 	Kind       string   `toml:"kind"`
 	Cell       int      `toml:"pod"`    // failure domain within which idempotency keys are shared
 	Weight     *float64 `toml:"share"`  // 1 if not set
-	VerifyName string   `toml:"verify"` // that its certificate must be valid for, "" to use upstream.verify
+	VerifyName string   `toml:"verify"` // name that its certificate must be valid for, "" to use upstream.verify
 }
 
 // checkServers checks the [[server]] entries. checkUpstream checks their names for verification.
--- a/internal/config/section_upstream.go
+++ b/internal/config/section_upstream.go
@@ -26,7 +26,7 @@
 	HandshakesTotal     float64  `toml:"handshakes_all"`  // per second, by this instance
 	HandshakeBurst      float64  `toml:"handshake_burst"` // with one server, by all instances
 	HandshakeTimeout    Duration `toml:"handshake_timeout"`
-	MaxSessions         int      `toml:"sessions"` // that may be resumed
+	MaxSessions         int      `toml:"sessions"` // max TLS sessions kept for resumption
 }
 
 func defaultUpstream() Upstream {
@@ -55,7 +55,7 @@
 	c.Positive("upstream.handshake_timeout", upstream.HandshakeTimeout)
 }
 
-// checkPlainUpstream checks that no setting depends on TLS while it is not configured.
+// checkPlainUpstream checks, for connections in plain text, that no setting requires TLS.
 func (c *checker) checkPlainUpstream() {
 	const reason = "has no effect without upstream.keys: connections to servers are plain text"
 	upstream := &c.file.Upstream
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -9,8 +9,8 @@
 // versionBytes is the number of bytes of the hash that a version consists of.
 const versionBytes = 4
 
-// version identifies the classes, routes, pools, tenants and limits of a file: files that agree in these have the same
-// version, across restarts, instances and releases. It is a hash of versionText.
+// version identifies the classes, routes, pools, tenants, limits and drain times of a file: files with the same values
+// have the same version, across restarts, instances and releases. It is a hash of versionText.
 func (f *File) version() string {
 	text, err := f.versionText()
 	if err != nil { // a number that JSON cannot represent; the checks reject it
--- a/internal/policy/build.go
+++ b/internal/policy/build.go
@@ -73,7 +73,7 @@
 	return converted
 }
 
-// classNumber returns the number of a class, which is added if it differs from all known classes.
+// classNumber returns the number of a class. It adds the class if it differs from all known classes.
 func (t *Table) classNumber(c *compiler, class balancer.Class) uint8 {
 	for i, known := range t.classes {
 		known.Retired = false
@@ -105,7 +105,7 @@
 		len(t.tenants), maxTenantNumbers)
 }
 
-// numberOf returns the index of a name, which is added if it is new.
+// numberOf returns the index of a name. It adds the name if it is new.
 func numberOf(names *[]string, name string) int {
 	if index := slices.Index(*names, name); index >= 0 {
 		return index
@@ -186,8 +186,8 @@
 	return rank
 }
 
-// newBounds returns the bounds of a class, or of a route of the class if route is not nil. The numbers of the table are
-// not set.
+// newBounds returns the bounds of a class, or of a route of the class if route is not nil. The caller sets the
+// numbers of class, budget and pool.
 func newBounds(c *compiler, class *Class, route *Route) *Bounds {
 	settings := c.Effective(class, route)
 	return &Bounds{
--- a/internal/policy/check_class.go
+++ b/internal/policy/check_class.go
@@ -106,7 +106,7 @@
 	c.warnOfHedgeDelay(prefix+"copy_after", settings)
 }
 
-// checkDrain checks that an attempt that is sent during a drain ends before the endpoint does.
+// checkDrain checks that an attempt that is sent during a drain ends before the endpoint stops.
 func (c *compiler) checkDrain(key string, settings Effective) {
 	limits := &c.Limits
 	if limits.DrainTimeout <= 0 {
--- a/internal/policy/compile.go
+++ b/internal/policy/compile.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Bounds of a table. The numbers of earlier tables count, because requests in flight may use them.
+// Maximums of a table. Numbers from earlier tables count as well, because requests in flight may use them.
 const (
 	maxClasses       = 256     // the decision module uses numbers of one byte
 	maxPools         = 64      // a set of pools is the bits of a uint64
--- a/internal/policy/lookup.go
+++ b/internal/policy/lookup.go
@@ -13,10 +13,10 @@
 	Header map[string][]string
 }
 
-// Lookup returns the bounds of the most specific route that matches a request. A route with a host precedes one
-// without, an exact path precedes a prefix, a longer prefix a shorter one, a route with a method one without, more
-// headers fewer headers, and otherwise the order of the file decides. Lookup does not allocate memory if the host is in
-// lower case.
+// Lookup returns the bounds of the most specific route that matches a request. Routes are compared by these criteria in
+// turn: a host precedes no host, an exact path precedes a prefix, a longer prefix precedes a shorter one, a method
+// precedes no method, more headers precede fewer, and an earlier route in the file precedes a later one. Lookup does
+// not allocate memory if the host is in lower case.
 func (t *Table) Lookup(q *Query) (*Bounds, bool) {
 	if entry := t.lookup(q); entry != nil {
 		return &entry.Bounds, true
@@ -91,8 +91,8 @@
 	return host
 }
 
-// IsAmbiguousPath reports whether an endpoint may interpret a path differently: it has empty segments, or segments that
-// refer to themselves or to their parent.
+// IsAmbiguousPath reports whether an endpoint may interpret a path differently: it has a segment that is
+// empty, "." or "..".
 func IsAmbiguousPath(path string) bool {
 	return strings.Contains(path, "//") || strings.Contains(path, "/./") || strings.Contains(path, "/../") ||
 		strings.HasSuffix(path, "/.") || strings.HasSuffix(path, "/..")
--- a/internal/policy/schedule.go
+++ b/internal/policy/schedule.go
@@ -9,7 +9,7 @@
 type ScheduledRepeat struct {
 	Description string
 	Key         string        // of the setting that determines At
-	At          time.Duration // latest time after the first attempt at which it may reach an endpoint
+	At          time.Duration // latest time after the first attempt at which the repeat may reach an endpoint
 }
 
 // Schedule returns the repeats that a configuration schedules: attempts after timeouts, a hedge, and retries of
@@ -60,13 +60,13 @@
 	return e.HedgeDelay < e.Deadline && (e.AttemptTimeout == 0 || e.HedgeDelay < e.AttemptTimeout)
 }
 
-// certainWindow returns the time by the local clock in which an endpoint drops repeats even if its clock runs faster.
+// certainWindow returns how long, by the local clock, an endpoint drops repeats even if its own clock runs faster.
 func (l *Limits) certainWindow(window time.Duration) time.Duration {
 	return time.Duration(float64(window) / (1 + l.ClockError))
 }
 
-// moduleWindow returns the deduplication window for the decision module. A repeat that it sends within this window
-// reaches the endpoint in time even if the connection attempt takes the maximum time.
+// moduleWindow returns the deduplication window for the decision module. A repeat that the module sends within this
+// window reaches the endpoint in time even if the connection attempt takes the maximum time.
 func (l *Limits) moduleWindow(window time.Duration) time.Duration {
 	return l.certainWindow(window) - l.DialTimeout - l.TimerSlack
 }
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -11,7 +11,7 @@
 )
 
 // Decode decodes a file of at most maxBytes into the struct that target points to, by its toml tags. The error joins
-// one *Error for each key that is unknown or has an invalid value.
+// one *Error for each duration without a unit or for each unknown key, or is the *Error of the first invalid value.
 func Decode(data []byte, maxBytes int, target any) (*File, error) {
 	if len(data) > maxBytes {
 		return nil, &Error{Key: fileKey, Reason: fmt.Sprintf("is over %d bytes", maxBytes)}
--- a/internal/wire/settingstext.go
+++ b/internal/wire/settingstext.go
@@ -93,7 +93,7 @@
 	return value(t, key, false, "true or false", strconv.ParseBool)
 }
 
-// keyword returns what meanings has for the value of a key. Any other value is an error.
+// keyword returns the entry of meanings for the value of a key. A value without an entry is an error.
 func keyword[T any](t *settingsText, key string, fallback T, meanings map[string]T) T {
 	return value(t, key, fallback, "a known keyword", func(text string) (T, error) {
 		if meaning, ok := meanings[text]; ok {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,9 +1,9 @@
 // Package wire is the codec of the simulator's protocol: binary frames in both directions, and the settings text of
 // a begin record. Its only state is the endpoint lists that a Decoder has received.
 //
-// A frame to the host is a batch of events: number, size and clock, followed by records of a code byte, a size and
-// fields, all big endian. The host answers each batch with one frame of actions. Codes, names of records and keys of
-// settings are those of the protocol. The decoder maps them to the terms of package balancer.
+// A frame to the host, the process that runs balancers, is a batch of events: number, size and clock, then records of
+// a code byte, a size and fields, all big endian. The host answers each batch with one frame of actions. Codes, names
+// of records and keys of settings are those of the protocol. The decoder maps them to the terms of package balancer.
 package wire
 
 import (
