--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Micros is an instant or a duration in microseconds. Instants share an arbitrary origin that the host chooses; its
-// clock never runs backwards.
+// Micros is an instant or a duration in microseconds. Instants count from an arbitrary origin that the host, the
+// program that calls the balancer, chooses. The host's clock must never run backwards.
 type Micros = int64
 
 // State is the state of an endpoint as reported by discovery.
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -138,8 +138,9 @@
 	}
 }
 
-// A client's retry may repeat a request that has run and whose idempotency key is about to expire. It must not be
-// resent later, and must not be rejected in a way that guarantees that another retry is harmless.
+// A client's retry may repeat a request that has already run and whose idempotency key is about to expire. Once the key
+// may have expired, the request must not be resent, and must end with Fail: Reject would tell the client that another
+// retry is harmless.
 func TestClientRetryIsNotResentAfterWindow(t *testing.T) {
 	for _, test := range []struct {
 		class    uint8
@@ -254,8 +255,8 @@
 			b.AttemptCompleted(now, Outcome{ID: 1, Attempt: i, Endpoint: r.sends[i].endpoint, Status: Full})
 		}
 		if len(r.rejected) > 0 != test.rejected || len(r.failed) > 0 == test.rejected {
-			t.Errorf("%s: %d rejections and %d failures, want a rejection: %v",
-				test.name, len(r.rejected), len(r.failed), test.rejected)
+			t.Errorf("%s: %d rejections and %d failures, want rejected %v and failed %v",
+				test.name, len(r.rejected), len(r.failed), test.rejected, !test.rejected)
 		}
 	}
 }
@@ -281,7 +282,8 @@
 				t.Errorf("class %d, status %d: %d sends, want 2", class, status, sends)
 			case kind.Idempotency == IdempotentWithKey && kind.Group != GroupAll && !neverRan[status]:
 				if (r.sends[0].endpoint-1)/2 != (r.sends[1].endpoint-1)/2 {
-					t.Errorf("class %d, status %d: the retry left the group of the first attempt", class, status)
+					t.Errorf("class %d, status %d: first attempt at endpoint %d, retry at endpoint %d, want the same group",
+						class, status, r.sends[0].endpoint, r.sends[1].endpoint)
 				}
 			}
 		}
@@ -367,7 +369,7 @@
 	}
 }
 
-// A host that shuts down gives each open request its final answer, in the same way as at its deadline.
+// When the host shuts down, Expire gives each open request the final answer that it would get at its deadline.
 func TestExpireAnswersEachRequestOnce(t *testing.T) {
 	s := testSettings()
 	b, r := start(t, s, ready(4))
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -3,7 +3,7 @@
 // Start arms the first timers. Call it once, before any other event.
 func (b *Balancer) Start(now Micros) {
 	b.initialize()
-	// With a price of 0 the division gives +Inf, so the maximum applies.
+	// If Prices.Probe is 0, the division gives +Inf and the maximum applies.
 	b.probes.perRequest = min(maxProbesPerRequest, onDemandCostRatio/b.settings.Prices.Probe)
 	if b.settings.PollDiscovery {
 		// All balancers may start at the same time, so their first polls are spread out.
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -51,8 +51,8 @@
 	return min(maxLatencyChance, max(0, chance))
 }
 
-// breakerAllows decides at random whether the breaker admits a request. A rejected request counts as one
-// without an accept. Once per trialPause a request is admitted as a trial.
+// breakerAllows decides at random whether the breaker admits a request. A rejected request is counted as a
+// request that the endpoint did not accept. Once per trialPause a request is admitted as a trial.
 func (b *Balancer) breakerAllows(now Micros, r *request, e *endpoint) bool {
 	timeout := float64(b.classOf(r).ClientTimeout)
 	chance := max(e.breaker.errorChance(now), e.breaker.latencyChance(timeout))
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -51,7 +51,7 @@
 		k.record(100*second, 0, 1)
 	}
 	if k.errorChance(109*second) == 0 {
-		t.Error("failures of nine seconds ago are no longer counted")
+		t.Error("error chance 0 nine seconds after the failures, want more than 0")
 	}
 	if got := k.errorChance(110*second + 1); got != 0 || k.requests != 0 {
 		t.Errorf("after the window: chance %v, %d requests, want 0 and 0", got, k.requests)
@@ -71,11 +71,11 @@
 	if k.baseline != 100 || k.current != 100 {
 		t.Fatalf("first sample: baseline %v, current %v, want 100 and 100", k.baseline, k.current)
 	}
-	k.recordLatency(60) // falls by a quarter of the difference; current (60+3*100)/4
+	k.recordLatency(60) // the baseline falls by a quarter of the difference; current is (60+3*100)/4
 	if !almostEqual(k.baseline, 90) || !almostEqual(k.current, 90) {
 		t.Fatalf("lower sample: baseline %v, current %v, want 90 and 90", k.baseline, k.current)
 	}
-	k.recordLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
+	k.recordLatency(190) // the baseline rises by a hundredth of the difference: (190+99*90)/100; current is (190+3*90)/4
 	if !almostEqual(k.baseline, 91) || !almostEqual(k.current, 115) {
 		t.Fatalf("higher sample: baseline %v, current %v, want 91 and 115", k.baseline, k.current)
 	}
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -74,11 +74,11 @@
 	}
 }
 
-// handleOverdue handles an attempt that takes far longer than expected. If all requests are queueing, it must
-// be waited for, since hedges double the work of overloaded endpoints. But endpoints and network paths may
-// drop some requests and answer the others in time: the attempt is taken as dropped, and hedged elsewhere, if
-// a later attempt was answered before it, or if the endpoint has sent nothing since, not even a response to a
-// probe.
+// handleOverdue handles an attempt that takes far longer than expected. If all requests are queueing, the
+// balancer must wait for the answer, since hedges double the work of overloaded endpoints. But endpoints and
+// network paths may drop some requests and answer the others in time: the attempt is taken as dropped, and
+// hedged elsewhere, if a later attempt was answered before it, or if the endpoint has sent nothing since, not
+// even a response to a probe.
 func (b *Balancer) handleOverdue(now Micros, r *request, a *attempt) {
 	if !b.hedgesDropped() {
 		return
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -45,7 +45,7 @@
 		b.TimerFired(max(test.hedgeDelay, 300_000)-100_000, token) // another timer, early for a delay above 200 ms
 		b.TimerFired(max(test.hedgeDelay, 300_000), token)
 		if got := len(out.sends) > 1; got != test.wantHedge {
-			t.Errorf("%s: %d sends", test.name, len(out.sends))
+			t.Errorf("%s: %d sends, want a hedge: %v", test.name, len(out.sends), test.wantHedge)
 		} else if got && out.sends[0].endpoint == out.sends[1].endpoint {
 			t.Errorf("%s: the hedge went to the same endpoint", test.name)
 		}
@@ -58,7 +58,8 @@
 	s.Classes[0].HedgeQuantile = 0.9
 	b, out := startWithTimeouts(t, s, ready(2))
 	if got := b.hedgeDelay(&request{Request: Request{Class: 0}}); got != s.Classes[0].LatencyObjective {
-		t.Errorf("hedge delay %d µs before any sample, want the latency objective", got)
+		t.Errorf("hedge delay %d µs before any sample, want the latency objective of %d µs",
+			got, s.Classes[0].LatencyObjective)
 	}
 	rng := randomSource(3)
 	now := Micros(0)
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// In a large fleet all balancers receive the report of the same idle endpoint, so none may fill it alone.
+// In a large fleet all balancers receive the report of the same idle endpoint, so each may send it only a
+// few requests because of that report.
 func TestOneLowReportAttractsNoHerd(t *testing.T) {
 	for _, test := range []struct{ balancers, maxSends int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
