--- a/cmd/pinedale-faulttest/commands.go
+++ b/cmd/pinedale-faulttest/commands.go
@@ -35,7 +35,7 @@
 	return root
 }
 
-// drawOptions are the flags of the command run that determine which schedules are drawn.
+// drawOptions are the flags of the run command that determine which schedules are generated.
 type drawOptions struct {
 	firstSeed    uint64
 	seeds        int
@@ -46,7 +46,7 @@
 	agreement    string
 }
 
-// draw draws the schedules of consecutive seeds.
+// draw generates the random schedules of consecutive seeds.
 func (o *drawOptions) draw() []*schedule.Schedule {
 	var schedules []*schedule.Schedule
 	for i := range o.seeds {
--- a/cmd/pinedale-proxy/commands.go
+++ b/cmd/pinedale-proxy/commands.go
@@ -139,7 +139,7 @@
 	return verify
 }
 
-// load loads the operator's file. Its error names the file.
+// load reads and checks the operator's file. Its error contains the path.
 func load(path string) (*config.File, error) {
 	file, err := config.Load(path)
 	if err != nil {
--- a/cmd/pinedale-simulate/compare.go
+++ b/cmd/pinedale-simulate/compare.go
@@ -13,7 +13,7 @@
 	"pinedale/internal/emulator/scenario"
 )
 
-// compareOptions are the flags of the command compare.
+// compareOptions are the flags of the compare command.
 type compareOptions struct {
 	seeds   int
 	policy  string
--- a/cmd/pinedale-simulate/run.go
+++ b/cmd/pinedale-simulate/run.go
@@ -11,7 +11,7 @@
 	"pinedale/internal/emulator/baselines"
 )
 
-// runOptions are the flags of the command run.
+// runOptions are the flags of the run command.
 type runOptions struct {
 	seed      uint64 // 0 for the scenario's
 	policy    string
--- a/internal/app/reload_test.go
+++ b/internal/app/reload_test.go
@@ -23,7 +23,7 @@
 func TestBadReloadUnderLoadChangesNothing(t *testing.T) {
 	badFiles, err := filepath.Glob("../config/testdata/bad/*.toml")
 	if err != nil || len(badFiles) < minBadFiles {
-		t.Fatalf("%d bad files, %v", len(badFiles), err)
+		t.Fatalf("found %d bad files, error %v, want at least %d files", len(badFiles), err, minBadFiles)
 	}
 	r := startTestInstance(t, time.Millisecond, priceClass, payClass)
 	before := r.Table()
--- a/internal/certstore/conn.go
+++ b/internal/certstore/conn.go
@@ -11,13 +11,14 @@
 	"time"
 )
 
-// Conn is a TLS connection whose lifetime follows the material of a Store.
+// Conn is a TLS connection with a Lifetime, which ends because the peer is no longer trusted, the local certificate has
+// expired, or the material of the Store was replaced (see validate.Rotation.Retirement).
 type Conn struct {
 	*tls.Conn
 	socket     *socket
 	store      *Store
 	peerUsage  x509.ExtKeyUsage
-	generation int // of the material before the handshake
+	generation int // of the material in use before the handshake
 
 	lifetimeOnce sync.Once
 	lifetime     *Lifetime
--- a/internal/certstore/validate/expiry_test.go
+++ b/internal/certstore/validate/expiry_test.go
@@ -23,13 +23,13 @@
 		}
 	}
 	if len(got) != len(warningThresholds) {
-		t.Fatalf("%d warnings: %+v", len(got), got)
+		t.Fatalf("%d warnings, want %d: %+v", len(got), len(warningThresholds), got)
 	}
 	for i, warning := range got {
 		threshold := warningThresholds[i]
 		urgent := threshold <= 24*time.Hour
 		if warning.Remaining > threshold || warning.Remaining < threshold-time.Hour || warning.Urgent != urgent {
-			t.Errorf("warning %d: %+v", i, warning)
+			t.Errorf("warning %d: %+v, want at most %v remaining and urgent %v", i, warning, threshold, urgent)
 		}
 	}
 	next := root.Issue(ca.Spec{Names: []string{testName}, NotAfter: end.AddDate(0, 2, 0)})
--- a/internal/certstore/validate/retirement_test.go
+++ b/internal/certstore/validate/retirement_test.go
@@ -90,7 +90,8 @@
 	}
 	for part, n := range retired {
 		if len(retired) != parts || n < 800 || n > 1200 {
-			t.Errorf("in part %d of the hour %d of %d retire, want 800 to 1200: %v", part, n, connections, retired)
+			t.Errorf("part %d of the hour: %d of %d connections retire, want 800 to 1200; all parts: %v",
+				part, n, connections, retired)
 		}
 	}
 	f.wantNone(t, f.changedAt, f.conn(f.newPeer, 2))
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -44,7 +44,7 @@
 func TestBadFileCorpusIsRejectedAsStated(t *testing.T) {
 	paths, err := filepath.Glob("testdata/bad/*.toml")
 	if err != nil || len(paths) < minBadFiles {
-		t.Fatalf("%d bad files, %v", len(paths), err)
+		t.Fatalf("found %d bad files, error %v, want at least %d files", len(paths), err, minBadFiles)
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -64,12 +64,13 @@
 	settings := mustParse(t, goodFile).Settings()
 	if settings.Zone != 0 || settings.Limits.MaxAttempts != 2 || settings.PollDiscovery ||
 		!slices.Equal(settings.Fields, []balancer.Field{balancer.FieldErrors, balancer.FieldQueue}) {
-		t.Errorf("settings %+v", settings)
+		t.Errorf("settings %+v, want zone 0, at most 2 attempts, no polls of discovery, and the errors and queue fields",
+			settings)
 	}
 	price, pay := settings.Classes[0], settings.Classes[1]
 	if pay.Idempotency != balancer.IdempotentWithKey || pay.Group != balancer.GroupAll ||
 		pay.ClientTimeout != 2_500_000 || pay.PriorityWeight != 10 || price.PriorityWeight != 1 {
-		t.Errorf("classes %+v", settings.Classes)
+		t.Errorf("classes %+v, want the values of the file for price and pay", settings.Classes)
 	}
 	// The window of 1.5 s is reduced by the time of a dial, late timers and clock drift.
 	if pay.DedupWindow != 1_239_250 {
--- a/internal/policy/table_test.go
+++ b/internal/policy/table_test.go
@@ -78,7 +78,7 @@
 		next, compileFaults := Compile(config, previous)
 		if next == nil {
 			if i < 200 || !strings.Contains(fmt.Sprint(compileFaults), "restart the process") {
-				t.Errorf("file %d: %v", i, compileFaults)
+				t.Errorf("rejected at file %d: %v; want no rejection before 200, and advice to restart", i, compileFaults)
 			}
 			return
 		}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -25,7 +25,7 @@
 	} else if cfg.Settings.Limits.MaxRetryAfter != 1_500_000 || len(cfg.Settings.Classes) != 4 ||
 		cfg.Settings.Classes[1].Idempotency != balancer.IdempotentWithKey ||
 		len(cfg.Settings.Fields) != 2 || !cfg.Settings.PollDiscovery {
-		t.Errorf("settings %+v", cfg.Settings)
+		t.Errorf("settings %+v, want the values of the file", cfg.Settings)
 	}
 	for _, test := range []struct{ old, new, key string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":"here"`, "listen"},
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	if decoded.Timeout != Duration(250*time.Millisecond) || decoded.Timeout.Microseconds() != 250_000 {
-		t.Errorf("timeout %v", decoded.Timeout)
+		t.Errorf("timeout %v, want 250ms", decoded.Timeout)
 	}
 	if !file.Valid() || file.Err() != nil {
 		t.Errorf("error %v before any check", file.Err())
