--- a/internal/cluster/gossip_test.go
+++ b/internal/cluster/gossip_test.go
@@ -63,7 +63,7 @@
 			s := status(t, node)
 			total := sumServers(s.Servers)
 			if total.Attempts > 100 || total.Failures > 20 || total.SlowStart > total.Attempts {
-				t.Fatalf("totals of %s: %+v", s.Name, total)
+				t.Fatalf("totals of %s: %+v, want at most 100 attempts and 20 failures", s.Name, total)
 			}
 			if total.Attempts != 100 || total.Failures != 20 || total.SlowStart != 100 {
 				return false
@@ -89,10 +89,10 @@
 	t.Cleanup(server.Close)
 	got, err := Fetch(t.Context(), strings.TrimPrefix(server.URL, "http://"))
 	if err != nil || got.Name != "i-0" || len(got.Servers) == 0 {
-		t.Errorf("fetched %+v, %v", got, err)
+		t.Errorf("fetched %+v, error %v, want the status of i-0 with a server", got, err)
 	}
 	var out bytes.Buffer
 	if err := got.Print(&out); err != nil || !strings.Contains(out.String(), "s-1@") {
-		t.Errorf("printed %q, %v", out.String(), err)
+		t.Errorf("printed %q, error %v, want a line for s-1", out.String(), err)
 	}
 }
--- a/internal/cluster/leases_test.go
+++ b/internal/cluster/leases_test.go
@@ -134,7 +134,7 @@
 	if soon.Outcome != engine.LeaseExclusive {
 		t.Errorf("AgreeSoon: %+v, want an exclusive lease", soon)
 	}
-	// The instance still knows the requests that it has sent itself.
+	// The instance still has a record of its own first request.
 	second := acquireOnce(node, engine.LeaseRequest{Class: 1, Key: "k", Request: 3, Term: 1, Group: "pod 3"})
 	if second.Outcome != engine.LeaseShared || second.Group != "" {
 		t.Errorf("AgreeSoon, second request: %+v, want a lease shared with the first request's group", second)
--- a/internal/cluster/message/message.go
+++ b/internal/cluster/message/message.go
@@ -1,9 +1,9 @@
 // Package message converts between the protobuf messages that instances exchange (package peerspb)
 // and the types of packages keylease and replication.
 //
-// Names on the wire are older than those of the code: an Ask is a keylease.Request, an Answer a
-// keylease.Response, a round a lease term, a roll a voter set, a hold a lease duration. The package
-// does no I/O and has no state.
+// The wire format keeps older names than the code: Ask for keylease.Request, Answer for
+// keylease.Response, round for the lease term, roll for the voter set, and hold for the lease
+// duration. The package does no I/O and has no state.
 package message
 
 import (
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -135,7 +135,7 @@
 func (n *Node) Covers(class uint8) bool { return n.cfg.agreement(class) != AgreeNever }
 
 // Acquire requests a lease of a key without waiting. onDecision is called once, on the engine's
-// goroutine. Acquire must be called there, too.
+// goroutine. Acquire must be called on that goroutine, too.
 func (n *Node) Acquire(
 	request engine.LeaseRequest, onDecision func(now balancer.Micros, decision engine.LeaseDecision),
 ) {
--- a/internal/cluster/peerspb/peers_test.go
+++ b/internal/cluster/peerspb/peers_test.go
@@ -41,7 +41,7 @@
 	return line + "\n"
 }
 
-// The descriptors are equal to a list from an earlier build, because instances of two builds exchange
+// The descriptors must match a list from an earlier build, because instances of two builds exchange
 // messages during a rollout. A new field adds a line to the list. Existing lines never change.
 func TestFieldsAreWireCompatible(t *testing.T) {
 	want, err := os.ReadFile("testdata/fields.golden")
--- a/internal/engine/keylease_test.go
+++ b/internal/engine/keylease_test.go
@@ -112,11 +112,12 @@
 	_, responses := l.submit("k")
 	if len(l.up.attempts) != 0 || len(leases.requests) != 1 ||
 		leases.requests[0].Key != "k" || leases.requests[0].Term != 1 {
-		t.Fatalf("%d attempts, lease requests %+v", len(l.up.attempts), leases.requests)
+		t.Fatalf("before the decision: %d attempts, lease requests %+v; want none and one for key k, term 1",
+			len(l.up.attempts), leases.requests)
 	}
 	leases.decide(l.engine, 0, LeaseDecision{Outcome: LeaseExclusive})
 	if len(l.up.attempts) != 1 || podGroupName(l.up.attempts[0].Cell) != leases.requests[0].Group {
-		t.Fatalf("%d attempts", len(l.up.attempts))
+		t.Fatalf("after an exclusive lease: %d attempts, want 1, in the group of the lease request", len(l.up.attempts))
 	}
 	l.up.attempts[0].PostResult(Result{Status: balancer.OK})
 	if len(*responses) != 1 || (*responses)[0].Code != http.StatusOK || len(leases.released) != 0 {
@@ -153,7 +154,7 @@
 	leases.decide(l.engine, len(leases.requests)-1, LeaseDecision{Outcome: LeaseDenied})
 	if len(l.up.attempts) != attempts || len(*responses) != 1 ||
 		(*responses)[0].Code != http.StatusBadGateway || len(leases.released) != 1 {
-		t.Errorf("%d further attempts, answers %+v, released %v",
+		t.Errorf("lease denied: %d further attempts, answers %+v, released %v; want no attempt, one answer 502, one release",
 			len(l.up.attempts)-attempts, *responses, leases.released)
 	}
 }
--- a/internal/front/extproc/protocol_test.go
+++ b/internal/front/extproc/protocol_test.go
@@ -168,7 +168,7 @@
 			}
 			out = phase(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestTrailers{}})
 			if out.GetRequestTrailers() == nil {
-				t.Errorf("response to the request trailers: %v", out)
+				t.Errorf("response to the request trailers: %v, want one of the kind RequestTrailers", out)
 			}
 			s.report(200, "via_upstream", "")
 			out = phase(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseBody{ResponseBody: piece}})
@@ -177,7 +177,7 @@
 			}
 			out = phase(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseTrailers{}})
 			if out.GetResponseTrailers() == nil {
-				t.Errorf("response to the answer's trailers: %v", out)
+				t.Errorf("response to the answer's trailers: %v, want one of the kind ResponseTrailers", out)
 			}
 			s.end()
 		})
--- a/internal/membership/ephemeral/client_test.go
+++ b/internal/membership/ephemeral/client_test.go
@@ -26,7 +26,7 @@
 		Name: "b", Address: "127.0.0.1:2", Site: "arusha", Weight: 1, StartedMS: 5000, State: balancer.Draining,
 	}
 	if got := h.recorder.node("b"); got != want {
-		t.Errorf("b is %+v, want %+v", got, want)
+		t.Errorf("node b is %+v, want %+v", got, want)
 	}
 	// Each read sets the watch again.
 	for range 20 {
--- a/internal/replication/store_test.go
+++ b/internal/replication/store_test.go
@@ -79,7 +79,7 @@
 	mustPut(t, restarted, time.Hour, checkedTopic, "s", "2")
 	runAntiEntropy(time.Hour, restarted, replica, loseNothing)
 	if view := replica.View(time.Hour, checkedTopic); len(view) != 1 || string(view[0].Value) != "2" {
-		t.Errorf("the next incarnation is not accepted: %v", view)
+		t.Errorf("view after the origin restarted: %v, want only the value 2 of the new incarnation", view)
 	}
 }
 
@@ -99,7 +99,7 @@
 		t.Errorf("view %v, want both values", view)
 	}
 	if err := compareViews(first.View(0, uncheckedTopic), second.View(0, uncheckedTopic)); err != nil {
-		t.Errorf("the incarnations' views: %v", err)
+		t.Errorf("the views of the two incarnations differ: %v", err)
 	}
 }
 
@@ -194,7 +194,7 @@
 			}
 			for _, topic := range []Topic{checkedTopic, uncheckedTopic} {
 				if err := compareViews(plain.View(now, topic), indexed.View(now, topic)); err != nil {
-					t.Fatalf("topic %d: %v", topic, err)
+					t.Fatalf("topic %d: the views of the plain store and the indexed store differ: %v", topic, err)
 				}
 			}
 		}
--- a/internal/requestmeta/parse_test.go
+++ b/internal/requestmeta/parse_test.go
@@ -37,13 +37,13 @@
 	}
 	if got.Class != 1 || got.Tenant != 1 || got.Deadline != 5_480_000-2000 || got.WorkHint != 900 || !got.HasWorkHint ||
 		!got.ClientRetry || got.Key == 0 || got.CorrelationID != "c1" || got.IdempotencyKey != "k1" {
-		t.Errorf("parsed %+v", got)
+		t.Errorf("parsed %+v, want the values of the headers", got)
 	}
 	// The key of a class without idempotency keys is ignored.
 	got, err = p.Parse(Request{Method: "POST", Path: "/order", Header: headers(HeaderID, "c2", HeaderClass, "order",
 		HeaderTenant, "acme", HeaderKey, "k1", HeaderTimeLeft, "99999999")})
 	if err != nil || got.IdempotencyKey != "" || got.Deadline != MaxRequestTime.Microseconds()-2000 {
-		t.Errorf("parsed %+v, %v", got, err)
+		t.Errorf("parsed %+v, error %v, want no key and the deadline for the maximum request time", got, err)
 	}
 	_, err = p.Parse(Request{Method: "PATCH", Path: "/order", Header: headers(HeaderID, "c2", HeaderClass, "order")})
 	if StatusCode(err) != 405 {
--- a/internal/routing/ledger_test.go
+++ b/internal/routing/ledger_test.go
@@ -87,19 +87,19 @@
 	other := h.newRequest(2, classPay, "2", "k")
 	other.Fingerprint = 2
 	if got := h.request(other); got.Kind != KeyReused || got.Reason != reasonKeyReused {
-		t.Errorf("another request with the same key: %+v", got)
+		t.Errorf("another request with the same key: %+v, want KeyReused", got)
 	}
 	if got := h.request(h.newRequest(3, classPay, "1", "k2")); got.Kind != KeyReused || got.Reason != reasonIDInUse {
-		t.Errorf("another key with the same ID: %+v", got)
+		t.Errorf("another key with the same ID: %+v, want KeyReused", got)
 	}
 	tenant := h.newRequest(4, classPay, "4", "k")
 	tenant.Tenant = "acme"
 	tenant.Fingerprint = 3
 	if got := h.request(tenant); got.Kind != Forward {
-		t.Errorf("the same key of another tenant: %+v", got)
+		t.Errorf("the same key of another tenant: %+v, want Forward", got)
 	}
 	if got := h.ledger.HandleReport(2, Outcome{Status: balancer.OK}); got.Kind != PassThrough || len(h.completions) != 0 {
-		t.Error("a report counted on a stream that was not forwarded an attempt")
+		t.Error("a report on a stream whose request was rejected was counted as the outcome of an attempt")
 	}
 	for id := StreamID(1); id <= 4; id++ {
 		h.closeStream(id, false)
@@ -145,7 +145,7 @@
 	for n := range 3 {
 		got := h.request(h.newRequest(StreamID(n), classPay, "1", "k"))
 		if got.Kind != Forward || got.Attempt != n {
-			t.Fatalf("request %d: %+v", n, got)
+			t.Fatalf("request %d: %+v, want Forward with attempt %d", n, got, n)
 		}
 		used[endpointOf(got)] = true
 		want := RetryAllowed
@@ -237,7 +237,7 @@
 		t.Fatalf("responses %+v after endpoint %d was retired", got, endpointOf(first))
 	}
 	if got := h.report(1, balancer.Full); got.Kind != RetryAllowed {
-		t.Fatalf("report: %+v", got)
+		t.Fatalf("report: %+v, want RetryAllowed", got)
 	}
 	h.closeStream(1, false)
 	for _, ref := range h.open {
@@ -288,7 +288,7 @@
 		}
 		h.closeStream(2, false)
 	} else {
-		t.Errorf("report: %+v", got)
+		t.Errorf("report: %+v, want RetryAllowed", got)
 	}
 	h.request(h.newRequest(3, classPay, "3", "k3"))
 	if got := h.ledger.HandleReport(3, Outcome{Status: balancer.OK, UnknownEndpoint: true}); got.Kind != PassThrough {
@@ -314,7 +314,7 @@
 			want = AtCapacity
 		}
 		if got.Kind != want || got.Kind == AtCapacity && got.RetryAfter <= 0 {
-			t.Errorf("request %d: %+v", id, got)
+			t.Errorf("request %d: %+v, want kind %v, and a retry delay if at capacity", id, got, want)
 		}
 	}
 	for id := StreamID(1); id <= 3; id++ {
--- a/internal/standin/testfleet/sidecar.go
+++ b/internal/standin/testfleet/sidecar.go
@@ -136,8 +136,9 @@
 	}
 }
 
-// FullSettings returns settings with a class of each kind of effect: "read" is idempotent, "pay" and "close" use an
-// idempotency key, which is deduplicated in the whole fleet and in a cell respectively, and "order" is not idempotent.
+// FullSettings returns settings with a class for each kind of idempotency: "read" is idempotent, "pay" and "close" use
+// an idempotency key, which is deduplicated in the whole fleet and in a cell respectively, and "order" is not
+// idempotent.
 // A request may take up to clientTimeout, and its key is deduplicated for dedupWindow.
 func FullSettings(clientTimeout, dedupWindow time.Duration) SidecarSettings {
 	class := func(name, idempotency, group string) Class {
--- a/internal/upstream/secure/conn_test.go
+++ b/internal/upstream/secure/conn_test.go
@@ -11,7 +11,7 @@
 )
 
 // Open connections become unusable at once if their root is removed or their server's name changes.
-// If a change leaves them trusted, they become unusable spread over the configured time.
+// If a change leaves them trusted, they become unusable one by one over the configured period.
 func TestOpenConnectionsFollowChangesOfTrust(t *testing.T) {
 	f := newFixture(t)
 	second := ca.New(t, "second")
