--- a/internal/emulator/baselines/baselines.go
+++ b/internal/emulator/baselines/baselines.go
@@ -44,8 +44,8 @@
 	return append([]string{Module}, slices.Sorted(maps.Keys(newPickers))...)
 }
 
-// Named returns the policy with a name, nil for Module. weights holds the weight of each machine kind, as an operator
-// would configure it. The error is an *UnknownPolicyError.
+// Named returns the policy with the given name, nil for Module. weights holds the weight of each machine kind, as an
+// operator would configure it. The error is an *UnknownPolicyError.
 func Named(name string, weights []float64) (NewDecider, error) {
 	if name == Module {
 		return nil, nil
--- a/internal/emulator/realtime/realtime_test.go
+++ b/internal/emulator/realtime/realtime_test.go
@@ -106,7 +106,7 @@
 		t.Errorf("event counts %v, want %d notifications", events, want)
 	}
 	if events[trace.KindAttempt] < attempts/2 {
-		t.Errorf("event counts %v, want an attempt for most of %d client attempts", events, attempts)
+		t.Errorf("event counts %v, want attempts for at least half of %d client attempts", events, attempts)
 	}
 }
 
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// Every scenario of the library runs without a violation, serves at least the ratio of its bound in time, is
+// Every scenario of the library runs without a violation, serves at least its minimum ratio of requests in time, is
 // reproducible and can be reported as text and HTML.
 func TestLibraryScenariosServeInTimeAndRepeat(t *testing.T) {
 	minInTime := map[string]float64{
--- a/internal/emulator/scenario/validate_fault.go
+++ b/internal/emulator/scenario/validate_fault.go
@@ -50,12 +50,12 @@
 	return strings.Join(names, ", ")
 }
 
-// classIndex returns the index of the class with a name, or -1 if there is none.
+// classIndex returns the index of the class with the given name, or -1 if there is none.
 func (f *File) classIndex(name string) int {
 	return slices.IndexFunc(f.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// tenantIndex returns the index of the tenant with a name, or -1 if there is none.
+// tenantIndex returns the index of the tenant with the given name, or -1 if there is none.
 func (f *File) tenantIndex(name string) int {
 	return slices.IndexFunc(f.Tenants, func(t Tenant) bool { return t.Name == name })
 }
--- a/internal/emulator/simulation/client.go
+++ b/internal/emulator/simulation/client.go
@@ -12,8 +12,8 @@
 // lateResponseTolerance is how long after its timeout a client still waits for the response.
 const lateResponseTolerance = time.Millisecond
 
-// clientAttempt is one attempt of a client at an instance: the first of its request, or a retry. It is its own
-// engine.Carrier.
+// clientAttempt is one attempt of a client at an instance: the first of its request, or a retry. It
+// implements engine.Carrier for itself.
 type clientAttempt struct {
 	simulator *simulator
 	request   *plan.Request
--- a/internal/emulator/simulation/faults_test.go
+++ b/internal/emulator/simulation/faults_test.go
@@ -166,7 +166,7 @@
 	}
 	// Each attempt is cancelled after 50 ms, and the server completes it nevertheless.
 	if result.InTime() != 0 || started[1] < 3 {
-		t.Fatalf("%v served in time, want 0; %d attempts, want at least 3", result.InTime(), started[1])
+		t.Fatalf("ratio of requests served in time: %v, want 0; %d attempts, want at least 3", result.InTime(), started[1])
 	}
 	process := sim.servers[0].machine
 	if working, waiting := process.InFlight(); working+waiting != 0 {
--- a/internal/emulator/sockets/submit.go
+++ b/internal/emulator/sockets/submit.go
@@ -97,7 +97,7 @@
 	return fmt.Sprintf("eps=%.2f,queue=%.2f", load.ErrorsPerSecond, load.Queue)
 }
 
-// classIndex returns the index of the class with a name, or else that of the class without a name.
+// classIndex returns the index of the class with the given name, or else that of the class whose name is empty.
 func (f *Fleet) classIndex(name string) (int, error) {
 	if class, ok := f.index[name]; ok {
 		return class, nil
--- a/internal/measure/coldstart/coldstart.go
+++ b/internal/measure/coldstart/coldstart.go
@@ -23,7 +23,7 @@
 type Options struct {
 	Instances      int
 	Servers        int
-	Fresh          int     // servers of these that start in the middle of a simulation, with slow start
+	Fresh          int     // how many of the servers start in the middle of a simulation, with slow start
 	Rate           float64 // requests per second of all instances, without retries
 	SubsetSize     int     // smallest number of servers in a subset
 	Seeds          int     // simulations of each row
@@ -56,7 +56,7 @@
 
 	imbalancePercentile = 0.99
 
-	// endpointsPerInFlight is the number of further endpoints of a subset for each request in flight.
+	// endpointsPerInFlight is how many endpoints are added to a subset for each request in flight.
 	endpointsPerInFlight = 2
 )
 
--- a/internal/measure/endpointremoval/endpointremoval_test.go
+++ b/internal/measure/endpointremoval/endpointremoval_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// A few scripts of the command removal, for every commit.
+// A short run of the measurement of the removal command, so that each commit is tested with it.
 func TestScriptsRemoveInTimeAndEvictNoServer(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	r, err := Run(Options{Scripts: 16, Parallel: 16, Servers: 4, Steps: 3, Seed: 1})
--- a/internal/measure/endpointremoval/script.go
+++ b/internal/measure/endpointremoval/script.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// run runs the script.
+// run starts the servers and the proxy, runs the steps under load, and measures the removals.
 func (s *script) run() error {
 	defer s.close()
 	if err := s.start(); err != nil {
@@ -149,7 +149,7 @@
 func (s *script) close() {
 	s.pendingWithdrawals.Wait()
 	if s.instance != nil {
-		_ = s.instance.Close() // the clients have counted the responses
+		_ = s.instance.Close() // an error changes no result: the clients have ended
 	}
 	for _, server := range s.servers {
 		server.Close()
@@ -211,7 +211,7 @@
 
 func nodePath(server *fakebackend.Server) string { return rootPath + "/" + server.Name }
 
-// register creates the node of a server.
+// register creates the server's node in the coordination service.
 func (s *script) register(server *fakebackend.Server) {
 	// Marshalling strings and numbers cannot fail.
 	data, _ := json.Marshal(ephemeral.Data{Address: server.Address, Site: "a", StartedMS: 1000})
--- a/internal/measure/extproc/extproc_test.go
+++ b/internal/measure/extproc/extproc_test.go
@@ -7,7 +7,7 @@
 	"go.uber.org/goleak"
 )
 
-// A smaller run of the command verdicts, for every commit.
+// A short run of the measurement of the verdicts command, so that each commit is tested with it.
 func TestRunKeepsAllRulesUnderFaults(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	r, err := Run(Options{
--- a/internal/measure/rotations/rotations_test.go
+++ b/internal/measure/rotations/rotations_test.go
@@ -28,7 +28,7 @@
 				t.Fatal(err)
 			}
 			if reason := result.Violation(); reason != "" || result.Rotations != 18 || result.Requests == 0 {
-				t.Errorf("%s: %+v", reason, result)
+				t.Errorf("violation %q, result %+v; want none, 18 rotations and some requests", reason, result)
 			}
 			fleet, front := result.Stores[fleetKeys], result.Stores[frontKeys]
 			if fleet.Accepted < 13 || front.Accepted < 4 || result.Upstream.Full == 0 {
--- a/internal/measure/tlscost/tlscost_test.go
+++ b/internal/measure/tlscost/tlscost_test.go
@@ -38,7 +38,7 @@
 			}
 			for k, kind := range handshakeKinds {
 				if row.Median[k] <= 0 || row.P99[k] < row.Median[k] || row.Client[k] <= 0 || row.Server[k] <= 0 {
-					t.Errorf("%s: %+v", kind, row)
+					t.Errorf("%s: %+v, want positive times and a 99th percentile not below the median", kind, row)
 				}
 			}
 			var out bytes.Buffer
